--- a/chiverun/runtime/execution.py
+++ b/chiverun/runtime/execution.py
@@ -18,7 +18,7 @@
 from chiverun.integrations.backend import Outgoing
 from chiverun.integrations.cancellation import Cancellation
 from chiverun.runtime.hedging import HEDGE_THREADS
-from chiverun.runtime.hedging import HedgeThreads
+from chiverun.runtime.hedging import HedgePool
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -90,7 +90,7 @@
         telemetry: "Telemetry",
         hedge_threads: int = HEDGE_THREADS,
     ) -> None:
-        self._hedges = HedgeThreads(threads=hedge_threads)
+        self._hedges = HedgePool(threads=hedge_threads)
         self._clock = clock
         self._admission = admission
         self._backends = backends
--- a/chiverun/runtime/hedging.py
+++ b/chiverun/runtime/hedging.py
@@ -16,7 +16,7 @@
 Send = Callable[[Cancellation], ExchangeEnd]
 
 
-class HedgeThreads:
+class HedgePool:
     """A bounded number of threads for attempts; thread-safe."""
 
     def __init__(self, *, threads: int = HEDGE_THREADS) -> None:
@@ -55,7 +55,7 @@
 class Race:
     """Attempts of one request; thread-safe."""
 
-    def __init__(self, threads: HedgeThreads) -> None:
+    def __init__(self, threads: HedgePool) -> None:
         self._threads = threads
         self._changed = threading.Condition()
         self._cancellations: list[Cancellation] = []
--- a/tests/runtime/test_hedging.py
+++ b/tests/runtime/test_hedging.py
@@ -20,7 +20,7 @@
 from chiverun.runtime.execution import Content
 from chiverun.runtime.execution import Executor
 from chiverun.runtime.execution import HedgeTerms
-from chiverun.runtime.hedging import HedgeThreads
+from chiverun.runtime.hedging import HedgePool
 from standins import backend as standin
 from tests.core.zones import BOOK
 from tests.core.zones import READ
@@ -201,7 +201,7 @@
     def test_the_best_end_counts(self, ends, expected):
         """Guards against NOT_RUN for a request of which one attempt ran."""
         gate = threading.Event()
-        threads = HedgeThreads(threads=2)
+        threads = HedgePool(threads=2)
         race = threads.start(lambda _: ends[0])
         race.add(lambda _: gate.wait(5) and ends[1])
         race.wait(1.0)
@@ -210,7 +210,7 @@
 
     def test_threads_are_bounded(self):
         gate = threading.Event()
-        threads = HedgeThreads(threads=1)
+        threads = HedgePool(threads=1)
         race = threads.start(lambda _: gate.wait(5) and OK)
         self.assertFalse(race.add(lambda _: OK))
         self.assertIsNone(threads.start(lambda _: OK))
@@ -221,5 +221,5 @@
         def fail(_):
             raise KeyError("test")
 
-        race = HedgeThreads(threads=1).start(fail)
+        race = HedgePool(threads=1).start(fail)
         self.assertIsInstance(race.result(), Reset)
