--- a/chiverun/runtime/execution.py
+++ b/chiverun/runtime/execution.py
@@ -133,7 +133,7 @@
             return Attempt(end=end, server=grant.server.name)
         race.wait(plan.delay_s)
         second = None
-        if not race.has_end() and hedge.budget.withdraw():
+        if not race.is_any_finished() and hedge.budget.withdraw():
             second = self._hedge(race, grant, content, excluded)
             if second is None:
                 hedge.budget.refund()
--- a/chiverun/runtime/hedging.py
+++ b/chiverun/runtime/hedging.py
@@ -87,7 +87,7 @@
         with self._changed:
             self._changed.wait_for(lambda: self._ends, seconds)
 
-    def has_end(self) -> bool:
+    def is_any_finished(self) -> bool:
         """Tell whether an attempt has ended."""
         with self._changed:
             return bool(self._ends)
