--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -49,7 +49,7 @@
 from chiverun.runtime.results import fingerprint
 from chiverun.runtime.results import make_result
 from chiverun.runtime.results import to_reply
-from chiverun.runtime.results import unknown_key
+from chiverun.runtime.results import unknown_outcome_response
 from chiverun.runtime.shifting import ShiftOffers
 
 if TYPE_CHECKING:
@@ -220,12 +220,16 @@
         """
         if req.header(ISSUER_HEADER.lower()):
             # The asking instance has an old address of the issuer.
-            return unknown_key(key, "its issuer has moved")
+            return unknown_outcome_response(key, "its issuer has moved")
         issuer = self._issuers.find(instance)
         if issuer is None:
-            return unknown_key(key, "its issuer is not known to be live")
+            return unknown_outcome_response(
+                key, "its issuer is not known to be live"
+            )
         if self._pace_request(issuer, request) is not None:
-            return unknown_key(key, "the link to its issuer has no room")
+            return unknown_outcome_response(
+                key, "the link to its issuer has no room"
+            )
         headers = backend_headers(req.headers)
         self._name_regions(headers, request.work)
         headers[ISSUER_HEADER] = instance
@@ -248,11 +252,15 @@
         match end:
             case PeerRefused(code=ResultCode.REQUEST_MALFORMED):
                 # It was refused before its key was looked up.
-                return unknown_key(key, "its issuer could not read it")
+                return unknown_outcome_response(
+                    key, "its issuer could not read it"
+                )
             case Answered() | PeerRefused():
                 return to_reply(make_result(end))
             case _:
-                return unknown_key(key, "its issuer did not answer")
+                return unknown_outcome_response(
+                    key, "its issuer did not answer"
+                )
 
     def _name_regions(self, headers: dict[str, str], work: Work) -> None:
         headers[SOURCE_HEADER] = work.source_region
--- a/chiverun/runtime/results.py
+++ b/chiverun/runtime/results.py
@@ -61,7 +61,7 @@
     )
 
 
-def unknown_key(key: IdempotencyKey, reason: str) -> Reply:
+def unknown_outcome_response(key: IdempotencyKey, reason: str) -> Reply:
     """Return the response to a key whose outcome nobody can tell."""
     return error_reply(
         409,
