--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -48,7 +48,7 @@
 from chiverun.runtime.request import RequestReader
 from chiverun.runtime.results import fingerprint
 from chiverun.runtime.results import make_result
-from chiverun.runtime.results import to_reply
+from chiverun.runtime.results import to_response
 from chiverun.runtime.results import unknown_outcome_response
 from chiverun.runtime.shifting import ShiftOffers
 
@@ -147,7 +147,7 @@
             outcome = self._keys.outcome(key)
             return error_reply(400, outcome, exc.code, exc.message)
         if request.work.request_class.repeatable:
-            return to_reply(self._run(request))
+            return to_response(self._run(request))
         return self._handle_keyed(req, request)
 
     # Keys.
@@ -188,7 +188,7 @@
             case Run():
                 return self._run_keyed(key, request)
             case Replay(result=result):
-                return to_reply(result)
+                return to_response(result)
             case Refuse(outcome=outcome, code=code):
                 return error_reply(409, outcome, code, f"key {key}")
 
@@ -204,7 +204,7 @@
             result = self._run(request)
         finally:
             self._keys.finish(key, result)
-        return to_reply(result)
+        return to_response(result)
 
     def _ask_issuer(
         self,
@@ -256,7 +256,7 @@
                     key, "its issuer could not read it"
                 )
             case Answered() | PeerRefused():
-                return to_reply(make_result(end))
+                return to_response(make_result(end))
             case _:
                 return unknown_outcome_response(
                     key, "its issuer did not answer"
--- a/chiverun/runtime/results.py
+++ b/chiverun/runtime/results.py
@@ -48,7 +48,7 @@
     )
 
 
-def to_reply(result: StoredResult) -> Reply:
+def to_response(result: StoredResult) -> Reply:
     """Return the response with its outcome and code."""
     return Reply(
         status=result.status,
