--- a/chiverun/platform/dialect.py
+++ b/chiverun/platform/dialect.py
@@ -4,7 +4,7 @@
 from chiverun.core.ids import ServerName
 from chiverun.integrations.asyncserver import Headers
 from chiverun.integrations.asyncserver import IncomingRequest
-from chiverun.runtime.dialect import RequestFacts
+from chiverun.runtime.dialect import RequestMetadata
 from chiverun.runtime.dialect import ResponseFacts
 from chiverun.runtime.dialect import ServerLoad
 
@@ -25,9 +25,9 @@
 class PlatformDialect:
     """Reads and writes the platform's own headers."""
 
-    def request_facts(self, request: IncomingRequest) -> RequestFacts:
+    def request_facts(self, request: IncomingRequest) -> RequestMetadata:
         """Return what a client's headers say."""
-        return RequestFacts(
+        return RequestMetadata(
             request_id=request.header(_REQUEST_ID) or "",
             affinity_key=request.header(_AFFINITY_KEY) or "",
             deadline_s=_deadline_s(request.header(_DEADLINE_MS)),
--- a/chiverun/runtime/dialect.py
+++ b/chiverun/runtime/dialect.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class RequestFacts:
+class RequestMetadata:
     """What a client says of its request; `deadline_s` counts from now."""
 
     request_id: str
@@ -54,7 +54,7 @@
 class Dialect(Protocol):
     """A platform's own headers, read and written."""
 
-    def request_facts(self, request: "IncomingRequest") -> RequestFacts: ...
+    def request_facts(self, request: "IncomingRequest") -> RequestMetadata: ...
 
     def request_headers(
         self, headers: "Headers", server: "Server", left_s: float
--- a/chiverun/runtime/sending.py
+++ b/chiverun/runtime/sending.py
@@ -22,7 +22,7 @@
 from chiverun.integrations.asyncserver import Headers
 from chiverun.integrations.asyncserver import IncomingRequest
 from chiverun.runtime.dialect import Dialect
-from chiverun.runtime.dialect import RequestFacts
+from chiverun.runtime.dialect import RequestMetadata
 from chiverun.runtime.dialect import ResponseFacts
 from chiverun.runtime.servertable import MISDIRECTED_S
 from chiverun.runtime.servertable import ServerRow
@@ -76,7 +76,7 @@
         self,
         row: ServerRow,
         request: IncomingRequest,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         *,
         repeatable: bool,
         until: float,
@@ -114,7 +114,7 @@
         self,
         row: ServerRow,
         request: IncomingRequest,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         repeatable: bool,
         until: float,
     ) -> SendResult:
@@ -166,7 +166,7 @@
         self,
         row: ServerRow,
         request: IncomingRequest,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         left_s: float,
     ) -> OutgoingRequest:
         headers = end_to_end(request.headers)
@@ -185,7 +185,7 @@
             is_mine=lambda rows: self._is_mine(rows, facts),
         )
 
-    def _is_mine(self, headers: Headers, facts: RequestFacts) -> bool:
+    def _is_mine(self, headers: Headers, facts: RequestMetadata) -> bool:
         echoed = self._dialect.response_facts(200, headers).request_id
         return echoed is None or echoed == facts.request_id
 
@@ -216,7 +216,7 @@
         row: ServerRow,
         result: SendResult,
         request: IncomingRequest,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         started_at: float,
         usual_s: float,
     ) -> None:
@@ -242,7 +242,7 @@
         row: ServerRow,
         result: SendResult,
         request: IncomingRequest,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         started_at: float,
         known_load: dict,
     ) -> None:
--- a/chiverun/runtime/steering.py
+++ b/chiverun/runtime/steering.py
@@ -19,7 +19,7 @@
 from chiverun.integrations.asyncserver import IncomingRequest
 from chiverun.integrations.asyncserver import OutgoingResponse
 from chiverun.runtime.dialect import Dialect
-from chiverun.runtime.dialect import RequestFacts
+from chiverun.runtime.dialect import RequestMetadata
 from chiverun.runtime.edgemetrics import EdgeMetrics
 from chiverun.runtime.selection import Overloaded
 from chiverun.runtime.selection import Placement
@@ -61,7 +61,7 @@
     """A client's request while it is served; times are the loop's."""
 
     incoming: IncomingRequest
-    facts: RequestFacts
+    facts: RequestMetadata
     route: Route
     service: ServiceName
     place: Placement
@@ -152,7 +152,7 @@
                 task.cancel()
 
     def _request(
-        self, incoming: IncomingRequest, facts: RequestFacts, route: Route
+        self, incoming: IncomingRequest, facts: RequestMetadata, route: Route
     ) -> Request:
         service = self._splits.choose(
             f"{route.host}{route.prefix}", route.parts
@@ -336,7 +336,7 @@
 
     def _refuse(
         self,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         reason: str,
         request: Request | None = None,
     ) -> OutgoingResponse:
@@ -392,7 +392,7 @@
         }
 
     def _log(
-        self, facts: RequestFacts, status: int, reason: str, **extra
+        self, facts: RequestMetadata, status: int, reason: str, **extra
     ) -> None:
         _LOG.info(
             reason,
