--- a/chiverun/platform/dialect.py
+++ b/chiverun/platform/dialect.py
@@ -25,7 +25,7 @@
 class PlatformDialect:
     """Reads and writes the platform's own headers."""
 
-    def request_facts(self, request: IncomingRequest) -> RequestMetadata:
+    def request_metadata(self, request: IncomingRequest) -> RequestMetadata:
         """Return what a client's headers say."""
         return RequestMetadata(
             request_id=request.header(_REQUEST_ID) or "",
--- a/chiverun/runtime/dialect.py
+++ b/chiverun/runtime/dialect.py
@@ -54,7 +54,9 @@
 class Dialect(Protocol):
     """A platform's own headers, read and written."""
 
-    def request_facts(self, request: "IncomingRequest") -> RequestMetadata: ...
+    def request_metadata(
+        self, request: "IncomingRequest"
+    ) -> RequestMetadata: ...
 
     def request_headers(
         self, headers: "Headers", server: "Server", left_s: float
--- a/chiverun/runtime/steering.py
+++ b/chiverun/runtime/steering.py
@@ -130,7 +130,7 @@
 
         One that may outlast an instance that is stopping is refused.
         """
-        facts = self._dialect.request_facts(incoming)
+        facts = self._dialect.request_metadata(incoming)
         if self.routes is None:
             return self._refuse(facts, "no desired state is known yet")
         path = incoming.target.partition("?")[0]
