--- a/chiverun/platform/dialect.py
+++ b/chiverun/platform/dialect.py
@@ -5,7 +5,7 @@
 from chiverun.integrations.asyncserver import Headers
 from chiverun.integrations.asyncserver import IncomingRequest
 from chiverun.runtime.dialect import RequestMetadata
-from chiverun.runtime.dialect import ResponseFacts
+from chiverun.runtime.dialect import ResponseMetadata
 from chiverun.runtime.dialect import ServerLoad
 
 _REQUEST_ID = "x-chiverun-request-id"
@@ -48,10 +48,12 @@
             (_EXPECTED_SERVER, server.name),
         ]
 
-    def response_facts(self, status: int, headers: Headers) -> ResponseFacts:
+    def response_facts(
+        self, status: int, headers: Headers
+    ) -> ResponseMetadata:
         """Return what a server's headers say."""
         row = {name.lower(): value for name, value in headers}
-        return ResponseFacts(
+        return ResponseMetadata(
             request_id=row.get(_REQUEST_ID),
             is_stamped=_STAMP in row,
             not_run=_NOT_RUN in row or status == 421,
--- a/chiverun/runtime/dialect.py
+++ b/chiverun/runtime/dialect.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class ResponseFacts:
+class ResponseMetadata:
     """What a server says with a response.
 
     `not_run` proves that the request did not run; `is_other_server` tells
@@ -64,4 +64,4 @@
 
     def response_facts(
         self, status: int, headers: "Headers"
-    ) -> ResponseFacts: ...
+    ) -> ResponseMetadata: ...
--- a/chiverun/runtime/sending.py
+++ b/chiverun/runtime/sending.py
@@ -23,7 +23,7 @@
 from chiverun.integrations.asyncserver import IncomingRequest
 from chiverun.runtime.dialect import Dialect
 from chiverun.runtime.dialect import RequestMetadata
-from chiverun.runtime.dialect import ResponseFacts
+from chiverun.runtime.dialect import ResponseMetadata
 from chiverun.runtime.servertable import MISDIRECTED_S
 from chiverun.runtime.servertable import ServerRow
 
@@ -56,7 +56,7 @@
     """How a send ended and what the response said."""
 
     end: ExchangeEnd
-    facts: ResponseFacts | None = None
+    facts: ResponseMetadata | None = None
 
     @property
     def is_not_run(self) -> bool:
