--- a/chiverun/platform/dialect.py
+++ b/chiverun/platform/dialect.py
@@ -48,7 +48,7 @@
             (_EXPECTED_SERVER, server.name),
         ]
 
-    def response_facts(
+    def response_metadata(
         self, status: int, headers: Headers
     ) -> ResponseMetadata:
         """Return what a server's headers say."""
--- a/chiverun/runtime/dialect.py
+++ b/chiverun/runtime/dialect.py
@@ -62,6 +62,6 @@
         self, headers: "Headers", server: "Server", left_s: float
     ) -> "Headers": ...
 
-    def response_facts(
+    def response_metadata(
         self, status: int, headers: "Headers"
     ) -> ResponseMetadata: ...
--- a/chiverun/runtime/sending.py
+++ b/chiverun/runtime/sending.py
@@ -186,7 +186,7 @@
         )
 
     def _is_mine(self, headers: Headers, facts: RequestMetadata) -> bool:
-        echoed = self._dialect.response_facts(200, headers).request_id
+        echoed = self._dialect.response_metadata(200, headers).request_id
         return echoed is None or echoed == facts.request_id
 
     def _interpret(
@@ -195,7 +195,7 @@
         if not isinstance(end, Answered):
             return SendResult(end=end)
         headers = list(end.headers)
-        facts = self._dialect.response_facts(end.status, headers)
+        facts = self._dialect.response_metadata(end.status, headers)
         _note_keep_alive(row, headers)
         is_named = facts.is_stamped and facts.request_id == request_id
         if end.status < 300 and not is_named:
