--- a/chiverun/runtime/dialect.py
+++ b/chiverun/runtime/dialect.py
@@ -51,7 +51,7 @@
     cold_s: float | None
 
 
-class Dialect(Protocol):
+class HeaderCodec(Protocol):
     """A platform's own headers, read and written."""
 
     def request_metadata(
--- a/chiverun/runtime/edge.py
+++ b/chiverun/runtime/edge.py
@@ -24,7 +24,7 @@
 from chiverun.integrations.catalogstore import CatalogStore
 from chiverun.integrations.network import AddressMap
 from chiverun.integrations.peers import ZmqPeers
-from chiverun.runtime.dialect import Dialect
+from chiverun.runtime.dialect import HeaderCodec
 from chiverun.runtime.directory import Directory
 from chiverun.runtime.edgemetrics import EdgeMetrics
 from chiverun.runtime.follower import CatalogFollower
@@ -58,7 +58,7 @@
         *,
         cfg: EdgeSettings,
         store: CatalogStore,
-        dialect: Dialect,
+        dialect: HeaderCodec,
         read_settings: Callable[[], EdgeSettings],
     ) -> None:
         self.cfg = cfg
--- a/chiverun/runtime/sending.py
+++ b/chiverun/runtime/sending.py
@@ -21,7 +21,7 @@
 from chiverun.integrations.asyncclient import OutgoingRequest
 from chiverun.integrations.asyncserver import Headers
 from chiverun.integrations.asyncserver import IncomingRequest
-from chiverun.runtime.dialect import Dialect
+from chiverun.runtime.dialect import HeaderCodec
 from chiverun.runtime.dialect import RequestMetadata
 from chiverun.runtime.dialect import ResponseMetadata
 from chiverun.runtime.servertable import MISDIRECTED_S
@@ -67,7 +67,7 @@
 class Sender:
     """Sends requests and records what servers' responses tell."""
 
-    def __init__(self, *, dialect: Dialect) -> None:
+    def __init__(self, *, dialect: HeaderCodec) -> None:
         self._dialect = dialect
         self._loop = asyncio.get_running_loop()
         self._numbers = itertools.count()
--- a/chiverun/runtime/steering.py
+++ b/chiverun/runtime/steering.py
@@ -18,7 +18,7 @@
 from chiverun.core.splits import SplitTable
 from chiverun.integrations.asyncserver import IncomingRequest
 from chiverun.integrations.asyncserver import OutgoingResponse
-from chiverun.runtime.dialect import Dialect
+from chiverun.runtime.dialect import HeaderCodec
 from chiverun.runtime.dialect import RequestMetadata
 from chiverun.runtime.edgemetrics import EdgeMetrics
 from chiverun.runtime.selection import Overloaded
@@ -101,7 +101,7 @@
     def __init__(
         self,
         *,
-        dialect: Dialect,
+        dialect: HeaderCodec,
         selector: Selector,
         sender: Sender,
         bounds: EdgeBounds,
