--- a/chiverun/platform/dialect.py
+++ b/chiverun/platform/dialect.py
@@ -22,7 +22,7 @@
 _DEADLINE_MS_MAX = 3_600_000
 
 
-class PlatformDialect:
+class PlatformHeaderCodec:
     """Reads and writes the platform's own headers."""
 
     def request_metadata(self, request: IncomingRequest) -> RequestMetadata:
