--- a/chiverun/runtime/edge.py
+++ b/chiverun/runtime/edge.py
@@ -24,10 +24,10 @@
 from chiverun.integrations.catalogstore import CatalogStore
 from chiverun.integrations.network import AddressMap
 from chiverun.integrations.peers import ZmqPeers
-from chiverun.runtime.dialect import HeaderCodec
 from chiverun.runtime.directory import Directory
 from chiverun.runtime.edgemetrics import EdgeMetrics
 from chiverun.runtime.follower import CatalogFollower
+from chiverun.runtime.header_codec import HeaderCodec
 from chiverun.runtime.selection import Selector
 from chiverun.runtime.sending import Sender
 from chiverun.runtime.servertable import ServerTable
@@ -58,7 +58,7 @@
         *,
         cfg: EdgeSettings,
         store: CatalogStore,
-        dialect: HeaderCodec,
+        header_codec: HeaderCodec,
         read_settings: Callable[[], EdgeSettings],
     ) -> None:
         self.cfg = cfg
@@ -93,9 +93,9 @@
             machines=self._machines,
             near_zones=self._near_zones,
         )
-        self._sender = Sender(dialect=dialect)
+        self._sender = Sender(header_codec=header_codec)
         self._steering = Steering(
-            dialect=dialect,
+            header_codec=header_codec,
             selector=selector,
             sender=self._sender,
             bounds=cfg.bounds,
--- a/chiverun/runtime/sending.py
+++ b/chiverun/runtime/sending.py
@@ -21,9 +21,9 @@
 from chiverun.integrations.asyncclient import OutgoingRequest
 from chiverun.integrations.asyncserver import Headers
 from chiverun.integrations.asyncserver import IncomingRequest
-from chiverun.runtime.dialect import HeaderCodec
-from chiverun.runtime.dialect import RequestMetadata
-from chiverun.runtime.dialect import ResponseMetadata
+from chiverun.runtime.header_codec import HeaderCodec
+from chiverun.runtime.header_codec import RequestMetadata
+from chiverun.runtime.header_codec import ResponseMetadata
 from chiverun.runtime.servertable import MISDIRECTED_S
 from chiverun.runtime.servertable import ServerRow
 
@@ -67,8 +67,8 @@
 class Sender:
     """Sends requests and records what servers' responses tell."""
 
-    def __init__(self, *, dialect: HeaderCodec) -> None:
-        self._dialect = dialect
+    def __init__(self, *, header_codec: HeaderCodec) -> None:
+        self._dialect = header_codec
         self._loop = asyncio.get_running_loop()
         self._numbers = itertools.count()
 
--- a/chiverun/runtime/steering.py
+++ b/chiverun/runtime/steering.py
@@ -18,9 +18,9 @@
 from chiverun.core.splits import SplitTable
 from chiverun.integrations.asyncserver import IncomingRequest
 from chiverun.integrations.asyncserver import OutgoingResponse
-from chiverun.runtime.dialect import HeaderCodec
-from chiverun.runtime.dialect import RequestMetadata
 from chiverun.runtime.edgemetrics import EdgeMetrics
+from chiverun.runtime.header_codec import HeaderCodec
+from chiverun.runtime.header_codec import RequestMetadata
 from chiverun.runtime.selection import Overloaded
 from chiverun.runtime.selection import Placement
 from chiverun.runtime.selection import placement
@@ -101,7 +101,7 @@
     def __init__(
         self,
         *,
-        dialect: HeaderCodec,
+        header_codec: HeaderCodec,
         selector: Selector,
         sender: Sender,
         bounds: EdgeBounds,
@@ -110,7 +110,7 @@
         metrics: EdgeMetrics,
     ) -> None:
         self.routes: RouteTable | None = None
-        self._dialect = dialect
+        self._dialect = header_codec
         self._selector = selector
         self._sender = sender
         self._bounds = bounds
