--- a/chiverun/integrations/backend.py
+++ b/chiverun/integrations/backend.py
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Outgoing:
+class OutgoingRequest:
     """A request to send once; `deadline` is monotonic seconds.
 
     A peer's statement of an outcome counts only when the request goes
@@ -199,7 +199,7 @@
         self._lock = threading.Lock()
         self._idle: dict[Address, list[_Connection]] = {}
 
-    def exchange(self, address: Address, req: Outgoing) -> ExchangeEnd:
+    def exchange(self, address: Address, req: OutgoingRequest) -> ExchangeEnd:
         """Send a request once and read its complete response."""
         if req.deadline <= self._clock.monotonic():
             return NotSent(detail="deadline passed before sending")
@@ -255,7 +255,7 @@
         conn.close()
 
 
-def _send(conn: _Connection, req: Outgoing) -> ExchangeEnd | None:
+def _send(conn: _Connection, req: OutgoingRequest) -> ExchangeEnd | None:
     """Send a request; return how the exchange ended if that failed."""
     headers = dict(req.headers)
     if req.to_peer:
@@ -274,7 +274,7 @@
     return None
 
 
-def _receive(conn: _Connection, req: Outgoing) -> ExchangeEnd:
+def _receive(conn: _Connection, req: OutgoingRequest) -> ExchangeEnd:
     """Read a response and check that it is whole and the request's own."""
     try:
         resp = conn.getresponse()
--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -32,7 +32,7 @@
 from chiverun.core.routing import Target
 from chiverun.core.ticket import Region
 from chiverun.core.work import Work
-from chiverun.integrations.backend import Outgoing
+from chiverun.integrations.backend import OutgoingRequest
 from chiverun.integrations.web import error_reply
 from chiverun.integrations.web import Incoming
 from chiverun.integrations.web import Reply
@@ -237,7 +237,7 @@
         self._telemetry.inject(headers)
         end = self._backends.exchange(
             issuer.addresses.entry,
-            Outgoing(
+            OutgoingRequest(
                 method=req.method,
                 path=req.target,
                 headers=headers,
@@ -429,7 +429,7 @@
             self._telemetry.inject(headers)
             end = self._backends.exchange(
                 target.addresses.forward,
-                Outgoing(
+                OutgoingRequest(
                     method=content.method,
                     path=f"/f/{work.service}{content.path}",
                     headers=headers,
--- a/chiverun/runtime/execution.py
+++ b/chiverun/runtime/execution.py
@@ -15,7 +15,7 @@
 from chiverun.core.retries import plan_hedge
 from chiverun.core.ticket import RequestClass
 from chiverun.integrations.backend import HOP_HEADERS
-from chiverun.integrations.backend import Outgoing
+from chiverun.integrations.backend import OutgoingRequest
 from chiverun.integrations.cancellation import Cancellation
 from chiverun.runtime.hedging import HEDGE_THREADS
 from chiverun.runtime.hedging import HedgePool
@@ -225,7 +225,7 @@
         grant: "Grant",
         content: Content,
         cancellation: Cancellation | None,
-    ) -> Outgoing:
+    ) -> OutgoingRequest:
         work = grant.work
         headers = backend_headers(content.headers)
         headers["X-Request-Id"] = content.request_id
@@ -245,14 +245,14 @@
     headers: dict[str, str],
     deadline: float,
     request_class: RequestClass,
-) -> Outgoing:
+) -> OutgoingRequest:
     """Return the request to a backend server.
 
     A kept connection may be closed by the server while a request is written
     to it, and then nobody knows whether it ran; a request that cannot be
     repeated goes over a fresh one.
     """
-    return Outgoing(
+    return OutgoingRequest(
         method=content.method,
         path=content.path,
         headers=headers,
--- a/chiverun/runtime/healthcheck.py
+++ b/chiverun/runtime/healthcheck.py
@@ -13,7 +13,7 @@
 from chiverun.core.exchange import ShedReason
 from chiverun.core.ids import ServerName
 from chiverun.core.ticket import Server
-from chiverun.integrations.backend import Outgoing
+from chiverun.integrations.backend import OutgoingRequest
 from chiverun.integrations.interfaces import StoreUnavailable
 from chiverun.runtime.control import ServersLeaving
 
@@ -133,7 +133,7 @@
         """Ask a server whether it is draining."""
         end = self._backends.exchange(
             server.address,
-            Outgoing(
+            OutgoingRequest(
                 method="GET",
                 path="/healthz",
                 headers={},
--- a/standins/measure_real.py
+++ b/standins/measure_real.py
@@ -41,7 +41,7 @@
 from chiverun.core.ticket import Zone
 from chiverun.core.work import Work
 from chiverun.integrations.backend import HttpBackends
-from chiverun.integrations.backend import Outgoing
+from chiverun.integrations.backend import OutgoingRequest
 from chiverun.integrations.network import AddressMap
 from chiverun.integrations.telemetry import Telemetry
 from chiverun.runtime.execution import Content
@@ -149,7 +149,7 @@
         with self._slots[server.name]:
             end = self._backends.exchange(
                 server.address,
-                Outgoing(
+                OutgoingRequest(
                     method="GET",
                     path=f"/{request_class.name}?token=t",
                     headers={"X-Request-Id": request_id},
--- a/tests/integrations/test_backend.py
+++ b/tests/integrations/test_backend.py
@@ -19,7 +19,7 @@
 from chiverun.core.exchange import TimedOut
 from chiverun.core.exchange import TooLarge
 from chiverun.integrations.backend import HttpBackends
-from chiverun.integrations.backend import Outgoing
+from chiverun.integrations.backend import OutgoingRequest
 from chiverun.integrations.network import AddressMap
 from tests.naive import IS_NAIVE
 from tests.naive import NaiveBackends
@@ -143,7 +143,9 @@
             "answer_bytes_max": 100,
             "fresh_connection": False,
         }
-        return self.backends.exchange(address, Outgoing(**fields | changes))
+        return self.backends.exchange(
+            address, OutgoingRequest(**fields | changes)
+        )
 
     def test_server_without_ids(self):
         """Guards against every second answer of such a server being lost."""
