--- a/chiverun/integrations/web.py
+++ b/chiverun/integrations/web.py
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Incoming:
+class IncomingRequest:
     """A request as received; path and query are still percent-encoded."""
 
     method: str
@@ -85,7 +85,7 @@
 
 _LOG = logbook.Logger("web")
 _EXCHANGE_KEY = "HTTP_X_CHIVERUN_EXCHANGE"
-Handler = Callable[[Incoming], Reply]
+Handler = Callable[[IncomingRequest], Reply]
 
 
 def json_reply(value: Any, status: int = 200) -> Reply:
@@ -322,7 +322,7 @@
         start_response(f"{reply.status} {_reason(reply.status)}", headers)
         return [reply.body]
 
-    def _handle(self, req: Incoming) -> Reply:
+    def _handle(self, req: IncomingRequest) -> Reply:
         """Run the handler; an error that it lets out proves nothing."""
         try:
             return self._handler(req)
@@ -336,7 +336,7 @@
             return error_reply(500, Outcome.UNKNOWN, code, type(exc).__name__)
 
 
-def _incoming(environ: dict[str, Any]) -> Incoming:
+def _incoming(environ: dict[str, Any]) -> IncomingRequest:
     try:
         body = environ["wsgi.input"].read()
     except (
@@ -365,7 +365,7 @@
     if environ.get("CONTENT_TYPE"):
         headers["content-type"] = environ["CONTENT_TYPE"]
     path, _, query = environ["REQUEST_URI"].partition("?")
-    return Incoming(
+    return IncomingRequest(
         method=environ["REQUEST_METHOD"],
         path=path,
         query=query,
--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -34,7 +34,7 @@
 from chiverun.core.work import Work
 from chiverun.integrations.backend import OutgoingRequest
 from chiverun.integrations.web import error_reply
-from chiverun.integrations.web import Incoming
+from chiverun.integrations.web import IncomingRequest
 from chiverun.integrations.web import Reply
 from chiverun.runtime.execution import Attempt
 from chiverun.runtime.execution import backend_headers
@@ -122,7 +122,7 @@
         self._issuers = IssuerDirectory()
         self.in_flight = 0
 
-    def handle(self, req: Incoming) -> Reply:
+    def handle(self, req: IncomingRequest) -> Reply:
         """Answer a caller's request."""
         with self._lock:
             self.in_flight += 1
@@ -137,7 +137,7 @@
         self._telemetry.latency.record(self._clock.monotonic() - started)
         return reply
 
-    def _handle(self, req: Incoming) -> Reply:
+    def _handle(self, req: IncomingRequest) -> Reply:
         self._issuers.refresh(self._plane.snapshot, self._clock.monotonic())
         try:
             request = self._reader.read(req)
@@ -152,7 +152,9 @@
 
     # Keys.
 
-    def _handle_keyed(self, req: Incoming, request: EntryRequest) -> Reply:
+    def _handle_keyed(
+        self, req: IncomingRequest, request: EntryRequest
+    ) -> Reply:
         key = IdempotencyKey(req.header("idempotency-key"))
         if not key:
             return error_reply(
@@ -179,7 +181,7 @@
         )
 
     def _run_or_replay(
-        self, req: Incoming, request: EntryRequest, key: IdempotencyKey
+        self, req: IncomingRequest, request: EntryRequest, key: IdempotencyKey
     ) -> Reply:
         begin = self._keys.begin(
             key, fingerprint(req), wait_until=request.work.deadline
@@ -208,7 +210,7 @@
 
     def _ask_issuer(
         self,
-        req: Incoming,
+        req: IncomingRequest,
         request: EntryRequest,
         key: IdempotencyKey,
         instance: InstanceId,
--- a/chiverun/runtime/forward.py
+++ b/chiverun/runtime/forward.py
@@ -25,7 +25,7 @@
 from chiverun.core.ticket import Zone
 from chiverun.core.work import Work
 from chiverun.integrations.web import error_reply
-from chiverun.integrations.web import Incoming
+from chiverun.integrations.web import IncomingRequest
 from chiverun.integrations.web import Reply
 from chiverun.runtime.execution import Content
 from chiverun.runtime.execution import deadline_from_epoch
@@ -74,7 +74,7 @@
         """Refuse peers' requests from now on; they try other instances."""
         self._is_refusing = True
 
-    def handle(self, req: Incoming) -> Reply:
+    def handle(self, req: IncomingRequest) -> Reply:
         """Run a peer's request once."""
         with self._lock:
             if self._is_refusing:
@@ -92,7 +92,7 @@
             with self._lock:
                 self.in_flight -= 1
 
-    def _handle(self, req: Incoming) -> Reply:
+    def _handle(self, req: IncomingRequest) -> Reply:
         try:
             work = self._work(req)
         except (ChiverunError, ValueError) as exc:
@@ -130,7 +130,7 @@
     def _region(self) -> RegionName:
         return self._plane.snapshot.state.of(Zone)[self._zone].region
 
-    def _work(self, req: Incoming) -> Work:
+    def _work(self, req: IncomingRequest) -> Work:
         state = self._plane.snapshot.state
         if self._zone not in state.of(Zone):
             raise ValueError(f"zone {self._zone!r} is in no ticket")
--- a/chiverun/runtime/public.py
+++ b/chiverun/runtime/public.py
@@ -11,7 +11,7 @@
 from chiverun.core.lookup import parse_client
 from chiverun.core.ticket import Service
 from chiverun.integrations.web import error_reply
-from chiverun.integrations.web import Incoming
+from chiverun.integrations.web import IncomingRequest
 from chiverun.integrations.web import json_reply
 from chiverun.integrations.web import Reply
 from chiverun.runtime.status import make_status
@@ -45,14 +45,14 @@
         self._ttl_s = ttl_s
         self._blocks = blocks
 
-    def handle(self, req: Incoming) -> Reply:
+    def handle(self, req: IncomingRequest) -> Reply:
         """Answer by path; no request here runs on a backend server."""
         try:
             return self._handle(req)
         except ChiverunError as exc:
             return error_reply(400, Outcome.NOT_RUN, exc.code, exc.message)
 
-    def _handle(self, req: Incoming) -> Reply:
+    def _handle(self, req: IncomingRequest) -> Reply:
         match (req.method, req.path):
             case ("GET", "/v1/lookup"):
                 return self._lookup(req)
@@ -74,7 +74,7 @@
                     "GET /healthz, GET /readyz",
                 )
 
-    def _lookup(self, req: Incoming) -> Reply:
+    def _lookup(self, req: IncomingRequest) -> Reply:
         query = _query(req)
         snapshot = self._sources.plane.snapshot
         with self._telemetry.span("lookup", parent=req.headers):
@@ -97,7 +97,7 @@
             )
         return json_reply(result)
 
-    def _issue(self, req: Incoming) -> Reply:
+    def _issue(self, req: IncomingRequest) -> Reply:
         text = _query(req).get("count", "1")
         if not _COUNT.fullmatch(text) or int(text) > KEYS_PER_CALL_MAX:
             raise ChiverunError(
@@ -164,7 +164,7 @@
         return reasons
 
 
-def _query(req: Incoming) -> dict[str, str]:
+def _query(req: IncomingRequest) -> dict[str, str]:
     return dict(urllib.parse.parse_qsl(req.query))
 
 
--- a/chiverun/runtime/request.py
+++ b/chiverun/runtime/request.py
@@ -14,7 +14,7 @@
 from chiverun.core.ticket import Service
 from chiverun.core.ticket import Zone
 from chiverun.core.work import Work
-from chiverun.integrations.web import Incoming
+from chiverun.integrations.web import IncomingRequest
 from chiverun.runtime.execution import Content
 from chiverun.runtime.forward import ORIGIN_HEADER
 
@@ -51,7 +51,7 @@
         self._plane = plane
         self._blocks = blocks
 
-    def read(self, req: Incoming) -> EntryRequest:
+    def read(self, req: IncomingRequest) -> EntryRequest:
         """Read a request; raises a 1xx code or NOT_READY."""
         state = self._plane.snapshot.state
         if not req.path.startswith(_PREFIX):
@@ -96,7 +96,7 @@
             )
         return zone.region
 
-    def _origin(self, req: Incoming, state) -> RegionName | None:
+    def _origin(self, req: IncomingRequest, state) -> RegionName | None:
         """Return the caller's region; a peer that passes it on states it."""
         table = self._blocks.get(state)
         origin = origin_region(state, table, req.remote)
@@ -105,7 +105,9 @@
             return stated
         return origin
 
-    def _deadline(self, req: Incoming, request_class: RequestClass) -> float:
+    def _deadline(
+        self, req: IncomingRequest, request_class: RequestClass
+    ) -> float:
         most_ms = request_class.deadline_ms
         text = req.header("x-deadline-ms", str(most_ms))
         is_number = text.isascii() and text.isdigit() and len(text) <= 15
--- a/chiverun/runtime/results.py
+++ b/chiverun/runtime/results.py
@@ -10,11 +10,11 @@
 from chiverun.core.idempotency import StoredResult
 from chiverun.core.ids import IdempotencyKey
 from chiverun.integrations.web import error_reply
-from chiverun.integrations.web import Incoming
+from chiverun.integrations.web import IncomingRequest
 from chiverun.integrations.web import Reply
 
 
-def fingerprint(req: Incoming) -> str:
+def fingerprint(req: IncomingRequest) -> str:
     """Return a hash that binds a key to its request."""
     hashed = xxhash.xxh3_128()
     for part in (req.method, req.path, req.query):
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -18,7 +18,7 @@
 from chiverun.core.idempotency import Run
 from chiverun.integrations import web
 from chiverun.integrations.network import split_address
-from chiverun.integrations.web import Incoming
+from chiverun.integrations.web import IncomingRequest
 from chiverun.runtime import entry
 from standins.web import Handler
 from standins.web import serve_in_thread
@@ -97,7 +97,7 @@
                 path, _, query = self.path.partition("?")
                 headers = {k.lower(): v for k, v in self.headers.items()}
                 reply = handle(
-                    Incoming(
+                    IncomingRequest(
                         method=self.command,
                         path=path,
                         query=query,
--- a/tests/runtime/test_entry.py
+++ b/tests/runtime/test_entry.py
@@ -30,7 +30,7 @@
 from chiverun.core.ticket import RequestClass
 from chiverun.core.ticket import Service
 from chiverun.core.ticket import Zone
-from chiverun.integrations.web import Incoming
+from chiverun.integrations.web import IncomingRequest
 from chiverun.runtime.entry import Entry
 from chiverun.runtime.entry import ISSUER_HEADER
 from chiverun.runtime.execution import Attempt
@@ -153,7 +153,7 @@
         if key:
             headers["idempotency-key"] = key
         reply = entry.handle(
-            Incoming(
+            IncomingRequest(
                 method=method,
                 path="/s/desk/x",
                 query="",
@@ -345,7 +345,7 @@
             threads=40,
         )
         reply = forward.handle(
-            Incoming(
+            IncomingRequest(
                 method="GET",
                 path="/f/desk/x",
                 query="",
--- a/tests/runtime/test_forward.py
+++ b/tests/runtime/test_forward.py
@@ -8,7 +8,7 @@
 from chiverun.core.errors import Outcome
 from chiverun.core.errors import ResultCode
 from chiverun.core.links import Links
-from chiverun.integrations.web import Incoming
+from chiverun.integrations.web import IncomingRequest
 from chiverun.integrations.web import Reply
 from chiverun.runtime.forward import Forward
 from chiverun.runtime.forward import pace_reply
@@ -88,7 +88,7 @@
         )
         forward.refuse_new()
         reply = forward.handle(
-            Incoming(
+            IncomingRequest(
                 method="GET",
                 path="/f/s/read",
                 query="",
--- a/tests/runtime/test_public.py
+++ b/tests/runtime/test_public.py
@@ -11,7 +11,7 @@
 from chiverun.core.idempotency import KEYS_MAX
 from chiverun.core.idempotency import KeyTable
 from chiverun.core.state import empty_state
-from chiverun.integrations.web import Incoming
+from chiverun.integrations.web import IncomingRequest
 from chiverun.runtime.public import Public
 
 
@@ -49,7 +49,7 @@
             ttl_s=2.0,
         )
         reply = public.handle(
-            Incoming(
+            IncomingRequest(
                 method="POST",
                 path="/v1/keys",
                 query=query,
