--- a/chiverun/core/edgemessages.py
+++ b/chiverun/core/edgemessages.py
@@ -7,8 +7,8 @@
 from chiverun.core.catalog import Machine
 from chiverun.core.catalog import Revision
 from chiverun.core.ids import Address
+from chiverun.core.ids import BootId
 from chiverun.core.ids import InstanceId
-from chiverun.core.ids import LifeId
 from chiverun.core.replica import Versioned
 
 
@@ -19,7 +19,7 @@
     """
 
     machine: Machine
-    life: LifeId
+    life: BootId
     leaving: bool
     reads_store: bool
 
@@ -33,7 +33,7 @@
     """
 
     sender: InstanceId
-    life: LifeId
+    life: BootId
     since: Revision
     as_of: Revision
     items: list[Versioned]
--- a/chiverun/core/idempotency.py
+++ b/chiverun/core/idempotency.py
@@ -14,9 +14,9 @@
 
 from chiverun.core.errors import Outcome
 from chiverun.core.errors import ResultCode
+from chiverun.core.ids import BootId
 from chiverun.core.ids import IdempotencyKey
 from chiverun.core.ids import InstanceId
-from chiverun.core.ids import LifeId
 
 if TYPE_CHECKING:
     from chiverun.core.clock import Clock
@@ -74,7 +74,7 @@
     """The issuer named by a key."""
 
     instance: InstanceId
-    life: LifeId
+    life: BootId
 
 
 def parse_key(key: str) -> KeyParts | None:
@@ -82,7 +82,7 @@
     parts = key.split(_SEPARATOR)
     if len(parts) != 3 or not all(parts):
         return None
-    return KeyParts(instance=InstanceId(parts[0]), life=LifeId(parts[1]))
+    return KeyParts(instance=InstanceId(parts[0]), life=BootId(parts[1]))
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -105,7 +105,7 @@
     """
 
     def __init__(
-        self, *, instance: InstanceId, life: LifeId, clock: "Clock"
+        self, *, instance: InstanceId, life: BootId, clock: "Clock"
     ) -> None:
         self._instance = instance
         self._life = life
@@ -226,7 +226,7 @@
     return len(result.body) + headers
 
 
-def _unlisted(key: IdempotencyKey, life: LifeId) -> Refuse:
+def _unlisted(key: IdempotencyKey, life: BootId) -> Refuse:
     """An unlisted key may have run before it expired or its process ended."""
     parts = parse_key(key)
     if parts is None:
--- a/chiverun/core/membership.py
+++ b/chiverun/core/membership.py
@@ -8,8 +8,8 @@
 import math
 import random
 
+from chiverun.core.ids import BootId
 from chiverun.core.ids import InstanceId
-from chiverun.core.ids import LifeId
 from chiverun.core.ids import ZoneName
 from chiverun.core.messages import Advert
 from chiverun.core.messages import MemberState
@@ -262,7 +262,7 @@
         row.state_since = now
 
 
-def note_ended(table: MemberTable, life: LifeId) -> None:
+def note_ended(table: MemberTable, life: BootId) -> None:
     """Keep a lifetime that has provably ended."""
     table.ended[life] = None
     while len(table.ended) > ENDED_KEPT:
--- a/chiverun/core/messages.py
+++ b/chiverun/core/messages.py
@@ -11,8 +11,8 @@
 from chiverun.core.errors import ChiverunError
 from chiverun.core.errors import ResultCode
 from chiverun.core.ids import Address
+from chiverun.core.ids import BootId
 from chiverun.core.ids import InstanceId
-from chiverun.core.ids import LifeId
 from chiverun.core.ids import SeatIndex
 from chiverun.core.ids import ServerName
 from chiverun.core.ids import ServiceName
@@ -49,7 +49,7 @@
     """
 
     instance: InstanceId
-    life: LifeId
+    life: BootId
     incarnation: int
     sequence: int
     zone: ZoneName
@@ -162,7 +162,7 @@
     """Asks the holder of more seats for a part of them."""
 
     instance: InstanceId
-    life: LifeId
+    life: BootId
     peer: Address
     held: int
 
@@ -178,7 +178,7 @@
     seat: SeatIndex
     epoch: int
     instance: InstanceId
-    life: LifeId
+    life: BootId
     giver: Address
     short_ms: int
     long_ms: int
@@ -190,7 +190,7 @@
 
     seat: SeatIndex
     epoch: int
-    life: LifeId
+    life: BootId
 
 
 class SeatMark(_Record):
@@ -198,7 +198,7 @@
 
     seat: SeatIndex
     epoch: int
-    life: LifeId
+    life: BootId
 
 
 class SeatMarks(_Message, tag=11):
--- a/chiverun/core/seats.py
+++ b/chiverun/core/seats.py
@@ -16,7 +16,7 @@
 import xxhash
 
 from chiverun.core.admission import CLOCK_MARGIN_S
-from chiverun.core.ids import LifeId
+from chiverun.core.ids import BootId
 from chiverun.core.ids import SeatIndex
 from chiverun.core.ids import ZoneName
 from chiverun.core.membership import CHECKS
@@ -93,7 +93,7 @@
     most: int
     rank: int
     live: int
-    ended: frozenset[LifeId]
+    ended: frozenset[BootId]
     marks: Mapping[SeatIndex, Mark]
     overdue: frozenset[SeatIndex]
 
@@ -143,7 +143,7 @@
     )
 
 
-def lost_seats(table: SeatTable, life: LifeId) -> set[SeatIndex]:
+def lost_seats(table: SeatTable, life: BootId) -> set[SeatIndex]:
     """Return the seats held or being released that a later holder has."""
     mine = {**table.releasing, **table.held}
     return {
@@ -166,7 +166,7 @@
 
 def ended_lives(
     members: MemberTable, zone: ZoneName, now: float
-) -> frozenset[LifeId]:
+) -> frozenset[BootId]:
     """Return the lifetimes that ended or were silent for the dead time.
 
     A member that others declared dead counts only after this instance's own
@@ -212,7 +212,7 @@
             continue
         if owner is not None and not _has_ended(owner, plan, me):
             continue
-        mark = plan.marks.get(seat, Mark(0, LifeId("")))
+        mark = plan.marks.get(seat, Mark(0, BootId("")))
         epoch = record.epoch(seat)
         if (
             mark.epoch > epoch
--- a/chiverun/core/tables.py
+++ b/chiverun/core/tables.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from chiverun.core.ids import Address
+from chiverun.core.ids import BootId
 from chiverun.core.ids import InstanceId
-from chiverun.core.ids import LifeId
 from chiverun.core.ids import SeatIndex
 from chiverun.core.ids import ServerName
 from chiverun.core.ids import ZoneName
@@ -30,7 +30,7 @@
     zone: ZoneName
     peer: Address
     incarnation: int
-    life: LifeId | None = None
+    life: BootId | None = None
     state: MemberState = MemberState.ALIVE
     state_since: float = 0.0
     acked_at: float = float("-inf")
@@ -87,7 +87,7 @@
     relayed: dict[int, tuple[Address, int]] = dataclasses.field(
         default_factory=dict
     )
-    ended: dict[LifeId, None] = dataclasses.field(default_factory=dict)
+    ended: dict[BootId, None] = dataclasses.field(default_factory=dict)
     sequence: int = 0
     next_probe_at: float = 0.0
     expired_at: float = float("-inf")
@@ -152,7 +152,7 @@
     short_from: float
     long_from: float
     receiver: InstanceId
-    life: LifeId
+    life: BootId
     sent_at: float = float("-inf")
 
 
@@ -160,7 +160,7 @@
     """The holder of a seat in the store's record."""
 
     instance: InstanceId
-    life: LifeId
+    life: BootId
     incarnation: int
     peer: Address
     epoch: int
@@ -187,7 +187,7 @@
     """The latest holder known of a seat; the greater mark is the later."""
 
     epoch: int
-    life: LifeId
+    life: BootId
 
 
 @dataclasses.dataclass(kw_only=True)
--- a/chiverun/runtime/context.py
+++ b/chiverun/runtime/context.py
@@ -7,8 +7,8 @@
 
 from chiverun.core import dissemination
 from chiverun.core.ids import Address
+from chiverun.core.ids import BootId
 from chiverun.core.ids import InstanceId
-from chiverun.core.ids import LifeId
 from chiverun.core.ids import ZoneName
 from chiverun.core.messages import Message
 from chiverun.core.messages import StateChunk
@@ -30,7 +30,7 @@
     """Who this instance is."""
 
     instance: InstanceId
-    life: LifeId
+    life: BootId
     zone: ZoneName
     lookup: Address
     entry: Address
--- a/chiverun/runtime/edge.py
+++ b/chiverun/runtime/edge.py
@@ -14,7 +14,7 @@
 from chiverun.core.errors import ChiverunError
 from chiverun.core.errors import ResultCode
 from chiverun.core.ids import Address
-from chiverun.core.ids import LifeId
+from chiverun.core.ids import BootId
 from chiverun.core.ids import ZoneName
 from chiverun.integrations.asyncserver import Handler
 from chiverun.integrations.asyncserver import IncomingRequest
@@ -66,7 +66,7 @@
         self._loop = asyncio.get_running_loop()
         self._stopping = asyncio.Event()
         self._stop_asked_at = 0.0
-        self._life = LifeId(uuid.uuid4().hex[:12])
+        self._life = BootId(uuid.uuid4().hex[:12])
         self._peers = ZmqPeers(bind=cfg.peer, addresses=AddressMap(mapping={}))
         self._me = Machine(
             name=cfg.name,
--- a/chiverun/runtime/follower.py
+++ b/chiverun/runtime/follower.py
@@ -22,7 +22,7 @@
 from chiverun.core.edgemessages import Snapshot
 from chiverun.core.edgemessages import Update
 from chiverun.core.ids import Address
-from chiverun.core.ids import LifeId
+from chiverun.core.ids import BootId
 from chiverun.core.peertable import BEAT_PERIOD_S
 from chiverun.core.peertable import PeerTable
 from chiverun.core.replica import Evacuation
@@ -57,7 +57,7 @@
         self,
         *,
         me: Machine,
-        life: LifeId,
+        life: BootId,
         store: CatalogStore,
         peers: ZmqPeers,
         seeds: tuple[Address, ...],
--- a/chiverun/runtime/instance.py
+++ b/chiverun/runtime/instance.py
@@ -14,7 +14,7 @@
 from chiverun.core.clock import SystemClock
 from chiverun.core.errors import ChiverunError
 from chiverun.core.idempotency import KeyTable
-from chiverun.core.ids import LifeId
+from chiverun.core.ids import BootId
 from chiverun.core.links import Links
 from chiverun.core.lookup import BlockTables
 from chiverun.core.messages import decode_message
@@ -113,7 +113,7 @@
         self._rng = random.Random(secrets.randbits(64))
         self._is_stop_requested = False
         self._addresses = AddressMap(mapping=dict(cfg.address_map))
-        life = LifeId(secrets.token_hex(8))
+        life = BootId(secrets.token_hex(8))
         self._identity = Identity(
             instance=cfg.name,
             life=life,
--- a/standins/measure_control.py
+++ b/standins/measure_control.py
@@ -23,8 +23,8 @@
 from chiverun.core.clock import SystemClock
 from chiverun.core.errors import ChiverunError
 from chiverun.core.ids import Address
+from chiverun.core.ids import BootId
 from chiverun.core.ids import InstanceId
-from chiverun.core.ids import LifeId
 from chiverun.core.ids import RegionName
 from chiverun.core.ids import ZoneName
 from chiverun.core.messages import Ack
@@ -121,7 +121,7 @@
         zone = _zone_name(number // ZONE_INSTANCES)
         return Advert(
             instance=InstanceId(f"{zone}-{number % ZONE_INSTANCES}"),
-            life=LifeId(f"{number:016x}"),
+            life=BootId(f"{number:016x}"),
             incarnation=1,
             sequence=1,
             zone=zone,
@@ -306,7 +306,7 @@
     plane = ControlPlane(
         identity=Identity(
             instance=InstanceId(f"{ZONE}-{number}"),
-            life=LifeId(f"{number:016x}"),
+            life=BootId(f"{number:016x}"),
             zone=ZONE,
             lookup=own,
             entry=own,
--- a/standins/planes.py
+++ b/standins/planes.py
@@ -17,8 +17,8 @@
 from chiverun.core.errors import ChiverunError
 from chiverun.core.exchange import Answered
 from chiverun.core.ids import Address
+from chiverun.core.ids import BootId
 from chiverun.core.ids import InstanceId
-from chiverun.core.ids import LifeId
 from chiverun.core.ids import RegionName
 from chiverun.core.ids import ServerName
 from chiverun.core.ids import ServiceName
@@ -202,7 +202,7 @@
 class Use:
     """A use of a slot by a process lifetime, in monotonic seconds."""
 
-    life: LifeId
+    life: BootId
     start: float
     until: float
 
@@ -235,7 +235,7 @@
         self.inbox: collections.deque[Event | Message] = collections.deque()
         self.running: list[_Running] = []
         rng = random.Random(planes.rng.random())
-        life = LifeId(f"{planes.rng.getrandbits(64):016x}")
+        life = BootId(f"{planes.rng.getrandbits(64):016x}")
         self.admission = Admission(zone=zone, clock=planes.clock, rng=rng)
         host, _, port = peer.rpartition(":")
         first = int(port)
@@ -270,7 +270,7 @@
         return self.plane.identity.instance
 
     @property
-    def life(self) -> LifeId:
+    def life(self) -> BootId:
         return self.plane.identity.life
 
     @property
--- a/tests/runtime/test_drains.py
+++ b/tests/runtime/test_drains.py
@@ -10,7 +10,7 @@
 from chiverun.core.errors import ChiverunError
 from chiverun.core.exchange import Shed
 from chiverun.core.exchange import ShedReason
-from chiverun.core.ids import LifeId
+from chiverun.core.ids import BootId
 from chiverun.core.messages import Advert
 from chiverun.core.messages import DrainSign
 from chiverun.core.messages import Gossip
@@ -33,7 +33,7 @@
 def _advert(name: str, zone: str, sequence: int = 1) -> Advert:
     return Advert(
         instance=name,
-        life=LifeId(name),
+        life=BootId(name),
         incarnation=1,
         sequence=sequence,
         zone=zone,
@@ -58,7 +58,7 @@
         self.plane = ControlPlane(
             identity=Identity(
                 instance="b1-0",
-                life=LifeId("life"),
+                life=BootId("life"),
                 zone="b1",
                 lookup="me:1",
                 entry="me:2",
