--- a/chiverun/integrations/web.py
+++ b/chiverun/integrations/web.py
@@ -75,7 +75,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Reply:
+class Response:
     """A response to send."""
 
     status: int
@@ -85,12 +85,12 @@
 
 _LOG = logbook.Logger("web")
 _EXCHANGE_KEY = "HTTP_X_CHIVERUN_EXCHANGE"
-Handler = Callable[[IncomingRequest], Reply]
+Handler = Callable[[IncomingRequest], Response]
 
 
-def json_reply(value: Any, status: int = 200) -> Reply:
+def json_reply(value: Any, status: int = 200) -> Response:
     """Return a JSON response."""
-    return Reply(
+    return Response(
         status=status,
         headers=(("Content-Type", "application/json"),),
         body=msgspec.json.encode(value),
@@ -99,9 +99,9 @@
 
 def error_reply(
     status: int, outcome: Outcome, code: ResultCode, message: str
-) -> Reply:
+) -> Response:
     """Return an error response that states the outcome and the code."""
-    return Reply(
+    return Response(
         status=status,
         headers=(
             ("Content-Type", "application/json"),
@@ -322,7 +322,7 @@
         start_response(f"{reply.status} {_reason(reply.status)}", headers)
         return [reply.body]
 
-    def _handle(self, req: IncomingRequest) -> Reply:
+    def _handle(self, req: IncomingRequest) -> Response:
         """Run the handler; an error that it lets out proves nothing."""
         try:
             return self._handler(req)
--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -35,7 +35,7 @@
 from chiverun.integrations.backend import OutgoingRequest
 from chiverun.integrations.web import error_reply
 from chiverun.integrations.web import IncomingRequest
-from chiverun.integrations.web import Reply
+from chiverun.integrations.web import Response
 from chiverun.runtime.execution import Attempt
 from chiverun.runtime.execution import backend_headers
 from chiverun.runtime.execution import epoch_ms
@@ -122,7 +122,7 @@
         self._issuers = IssuerDirectory()
         self.in_flight = 0
 
-    def handle(self, req: IncomingRequest) -> Reply:
+    def handle(self, req: IncomingRequest) -> Response:
         """Answer a caller's request."""
         with self._lock:
             self.in_flight += 1
@@ -137,7 +137,7 @@
         self._telemetry.latency.record(self._clock.monotonic() - started)
         return reply
 
-    def _handle(self, req: IncomingRequest) -> Reply:
+    def _handle(self, req: IncomingRequest) -> Response:
         self._issuers.refresh(self._plane.snapshot, self._clock.monotonic())
         try:
             request = self._reader.read(req)
@@ -154,7 +154,7 @@
 
     def _handle_keyed(
         self, req: IncomingRequest, request: EntryRequest
-    ) -> Reply:
+    ) -> Response:
         key = IdempotencyKey(req.header("idempotency-key"))
         if not key:
             return error_reply(
@@ -182,7 +182,7 @@
 
     def _run_or_replay(
         self, req: IncomingRequest, request: EntryRequest, key: IdempotencyKey
-    ) -> Reply:
+    ) -> Response:
         begin = self._keys.begin(
             key, fingerprint(req), wait_until=request.work.deadline
         )
@@ -194,7 +194,9 @@
             case Refuse(outcome=outcome, code=code):
                 return error_reply(409, outcome, code, f"key {key}")
 
-    def _run_keyed(self, key: IdempotencyKey, request: EntryRequest) -> Reply:
+    def _run_keyed(
+        self, key: IdempotencyKey, request: EntryRequest
+    ) -> Response:
         result = StoredResult(
             outcome=Outcome.UNKNOWN,
             code=ResultCode.INTERNAL,
@@ -214,7 +216,7 @@
         request: EntryRequest,
         key: IdempotencyKey,
         instance: InstanceId,
-    ) -> Reply:
+    ) -> Response:
         """Pass a request on to the instance that issued its key.
 
         Only the issuer may say that it was not run: another attempt with
--- a/chiverun/runtime/forward.py
+++ b/chiverun/runtime/forward.py
@@ -26,7 +26,7 @@
 from chiverun.core.work import Work
 from chiverun.integrations.web import error_reply
 from chiverun.integrations.web import IncomingRequest
-from chiverun.integrations.web import Reply
+from chiverun.integrations.web import Response
 from chiverun.runtime.execution import Content
 from chiverun.runtime.execution import deadline_from_epoch
 
@@ -74,7 +74,7 @@
         """Refuse peers' requests from now on; they try other instances."""
         self._is_refusing = True
 
-    def handle(self, req: IncomingRequest) -> Reply:
+    def handle(self, req: IncomingRequest) -> Response:
         """Run a peer's request once."""
         with self._lock:
             if self._is_refusing:
@@ -92,7 +92,7 @@
             with self._lock:
                 self.in_flight -= 1
 
-    def _handle(self, req: IncomingRequest) -> Reply:
+    def _handle(self, req: IncomingRequest) -> Response:
         try:
             work = self._work(req)
         except (ChiverunError, ValueError) as exc:
@@ -166,9 +166,9 @@
     links: "Links",
     clock: "Clock",
     work: Work,
-    run: Callable[[], Reply],
+    run: Callable[[], Response],
     refusal: Outcome = Outcome.NOT_RUN,
-) -> Reply:
+) -> Response:
     """Run a request and delay its response to the rate of the link.
 
     Response bytes are reserved before the request runs. A response that is
@@ -207,11 +207,11 @@
     )
 
 
-def reply_to_peer(end: ExchangeEnd) -> Reply:
+def reply_to_peer(end: ExchangeEnd) -> Response:
     """Return the reply that tells a peer how an exchange ended."""
     classified = classify(end)
     if isinstance(end, Answered):
-        return Reply(
+        return Response(
             status=end.status,
             headers=(
                 *end.headers,
--- a/chiverun/runtime/public.py
+++ b/chiverun/runtime/public.py
@@ -13,7 +13,7 @@
 from chiverun.integrations.web import error_reply
 from chiverun.integrations.web import IncomingRequest
 from chiverun.integrations.web import json_reply
-from chiverun.integrations.web import Reply
+from chiverun.integrations.web import Response
 from chiverun.runtime.status import make_status
 
 if TYPE_CHECKING:
@@ -45,14 +45,14 @@
         self._ttl_s = ttl_s
         self._blocks = blocks
 
-    def handle(self, req: IncomingRequest) -> Reply:
+    def handle(self, req: IncomingRequest) -> Response:
         """Answer by path; no request here runs on a backend server."""
         try:
             return self._handle(req)
         except ChiverunError as exc:
             return error_reply(400, Outcome.NOT_RUN, exc.code, exc.message)
 
-    def _handle(self, req: IncomingRequest) -> Reply:
+    def _handle(self, req: IncomingRequest) -> Response:
         match (req.method, req.path):
             case ("GET", "/v1/lookup"):
                 return self._lookup(req)
@@ -74,7 +74,7 @@
                     "GET /healthz, GET /readyz",
                 )
 
-    def _lookup(self, req: IncomingRequest) -> Reply:
+    def _lookup(self, req: IncomingRequest) -> Response:
         query = _query(req)
         snapshot = self._sources.plane.snapshot
         with self._telemetry.span("lookup", parent=req.headers):
@@ -97,7 +97,7 @@
             )
         return json_reply(result)
 
-    def _issue(self, req: IncomingRequest) -> Reply:
+    def _issue(self, req: IncomingRequest) -> Response:
         text = _query(req).get("count", "1")
         if not _COUNT.fullmatch(text) or int(text) > KEYS_PER_CALL_MAX:
             raise ChiverunError(
@@ -138,7 +138,7 @@
             }
         )
 
-    def _ready(self) -> Reply:
+    def _ready(self) -> Response:
         """Ready means: can serve, holds confirmed seats, is not leaving."""
         plane = self._sources.plane
         reasons = self._unready()
--- a/chiverun/runtime/results.py
+++ b/chiverun/runtime/results.py
@@ -11,7 +11,7 @@
 from chiverun.core.ids import IdempotencyKey
 from chiverun.integrations.web import error_reply
 from chiverun.integrations.web import IncomingRequest
-from chiverun.integrations.web import Reply
+from chiverun.integrations.web import Response
 
 
 def fingerprint(req: IncomingRequest) -> str:
@@ -48,9 +48,9 @@
     )
 
 
-def to_response(result: StoredResult) -> Reply:
+def to_response(result: StoredResult) -> Response:
     """Return the response with its outcome and code."""
-    return Reply(
+    return Response(
         status=result.status,
         headers=(
             *result.headers,
@@ -61,7 +61,7 @@
     )
 
 
-def unknown_outcome_response(key: IdempotencyKey, reason: str) -> Reply:
+def unknown_outcome_response(key: IdempotencyKey, reason: str) -> Response:
     """Return the response to a key whose outcome nobody can tell."""
     return error_reply(
         409,
--- a/tests/adapter/test_edge.py
+++ b/tests/adapter/test_edge.py
@@ -23,7 +23,7 @@
 _LIMIT_S = 20.0
 
 
-class Reply:
+class Response:
     """A response as a plain client reads it."""
 
     def __init__(self, raw: bytes) -> None:
@@ -33,13 +33,13 @@
         self.status = int(parts[1]) if len(parts) > 1 else 0
 
 
-async def call(address: str, raw: bytes, timeout_s: float = 8.0) -> Reply:
+async def call(address: str, raw: bytes, timeout_s: float = 8.0) -> Response:
     """Send bytes on a new connection and read to its end."""
     host, port = address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
         writer.write(raw)
-        return Reply(await asyncio.wait_for(reader.read(), timeout_s))
+        return Response(await asyncio.wait_for(reader.read(), timeout_s))
     finally:
         writer.close()
 
@@ -305,7 +305,7 @@
         for upstream in self.upstreams:
             upstream.faults = UpstreamFaults(delay_s=1.0)
 
-        async def post(request_id: str) -> tuple[str, Reply]:
+        async def post(request_id: str) -> tuple[str, Response]:
             raw = get("/book/1", request_id, method="POST")
             return request_id, await call(self.listen["front"], raw)
 
--- a/tests/integrations/test_web.py
+++ b/tests/integrations/test_web.py
@@ -8,7 +8,7 @@
 
 from chiverun.core.errors import ChiverunError
 from chiverun.core.errors import ResultCode
-from chiverun.integrations.web import Reply
+from chiverun.integrations.web import Response
 from chiverun.integrations.web import WebServer
 from standins.cluster import wait_until
 from tests.naive import IS_NAIVE
@@ -52,7 +52,7 @@
             cls.gate.wait(20)
         if cls.error is not None:
             raise cls.error
-        return Reply(status=200, body=b"done")
+        return Response(status=200, body=b"done")
 
     def _send(self, raw: bytes, *, is_cut: bool = False) -> bytes:
         """Send bytes; return all that comes until the server closes."""
--- a/tests/runtime/test_forward.py
+++ b/tests/runtime/test_forward.py
@@ -9,13 +9,13 @@
 from chiverun.core.errors import ResultCode
 from chiverun.core.links import Links
 from chiverun.integrations.web import IncomingRequest
-from chiverun.integrations.web import Reply
+from chiverun.integrations.web import Response
 from chiverun.runtime.forward import Forward
 from chiverun.runtime.forward import pace_reply
 from tests.core import cap_states
 
 
-def _outcome(reply: Reply) -> tuple[str, str]:
+def _outcome(reply: Response) -> tuple[str, str]:
     headers = dict(reply.headers)
     return headers["X-Chiverun-Outcome"], headers["X-Chiverun-Code"]
 
@@ -33,10 +33,10 @@
         )
         self.runs = 0
 
-    def _pace(self, size: int, **changes) -> Reply:
-        def run() -> Reply:
+    def _pace(self, size: int, **changes) -> Response:
+        def run() -> Response:
             self.runs += 1
-            return Reply(status=200, body=b"x" * size)
+            return Response(status=200, body=b"x" * size)
 
         work = cap_states.work(self.clock, "a", deadline_s=2.0)
         return pace_reply(self.links, self.clock, work, run, **changes)
@@ -64,7 +64,7 @@
     def test_failed_run_gives_its_reservation_back(self):
         """Leaked reservations would close the link for ever."""
 
-        def fail() -> Reply:
+        def fail() -> Response:
             raise RuntimeError("fault")
 
         for _ in range(50):
