--- a/chiverun/core/messages.py
+++ b/chiverun/core/messages.py
@@ -193,7 +193,7 @@
     life: BootId
 
 
-class SeatMark(_Record):
+class SeatHolderRecord(_Record):
     """The latest holder that the sender knows of a seat."""
 
     seat: SeatIndex
@@ -206,7 +206,7 @@
 
     zone: ZoneName
     sender: Address
-    marks: tuple[SeatMark, ...]
+    marks: tuple[SeatHolderRecord, ...]
 
 
 Message = (
--- a/chiverun/core/seats.py
+++ b/chiverun/core/seats.py
@@ -22,7 +22,7 @@
 from chiverun.core.membership import CHECKS
 from chiverun.core.membership import SUSPECT_S
 from chiverun.core.messages import MemberState
-from chiverun.core.messages import SeatMark
+from chiverun.core.messages import SeatHolderRecord
 from chiverun.core.shift import SHIFT_WINDOW_S
 from chiverun.core.tables import Held
 from chiverun.core.tables import Mark
@@ -132,11 +132,11 @@
 
 
 def later_marks(
-    table: SeatTable, marks: Iterable[SeatMark]
-) -> tuple[SeatMark, ...]:
+    table: SeatTable, marks: Iterable[SeatHolderRecord]
+) -> tuple[SeatHolderRecord, ...]:
     """Return the known marks that are later than the given ones."""
     return tuple(
-        SeatMark(seat=m.seat, epoch=known.epoch, life=known.life)
+        SeatHolderRecord(seat=m.seat, epoch=known.epoch, life=known.life)
         for m in marks
         if (known := table.marks.get(m.seat)) is not None
         and known > Mark(m.epoch, m.life)
--- a/chiverun/runtime/gossip.py
+++ b/chiverun/runtime/gossip.py
@@ -13,7 +13,7 @@
 from chiverun.core.messages import MemberState
 from chiverun.core.messages import Ping
 from chiverun.core.messages import SeatClaim
-from chiverun.core.messages import SeatMark
+from chiverun.core.messages import SeatHolderRecord
 from chiverun.core.messages import SeatMarks
 from chiverun.core.tables import Mark
 from chiverun.runtime import ticketspread
@@ -133,15 +133,17 @@
             seat_rules.note_mark(ctx.seats, claim.seat, mark)
 
 
-def _all_marks(ctx: "ControlContext") -> tuple[SeatMark, ...]:
+def _all_marks(ctx: "ControlContext") -> tuple[SeatHolderRecord, ...]:
     return tuple(
-        SeatMark(seat=seat, epoch=mark.epoch, life=mark.life)
+        SeatHolderRecord(seat=seat, epoch=mark.epoch, life=mark.life)
         for seat, mark in ctx.seats.marks.items()
     )
 
 
 def send_marks(
-    ctx: "ControlContext", address: Address, marks: tuple[SeatMark, ...]
+    ctx: "ControlContext",
+    address: Address,
+    marks: tuple[SeatHolderRecord, ...],
 ) -> None:
     """Tell an instance of the zone which holders are known."""
     if marks:
--- a/chiverun/runtime/seatsystem.py
+++ b/chiverun/runtime/seatsystem.py
@@ -9,7 +9,7 @@
 from chiverun.core.admission import PAUSE_LIMIT_S
 from chiverun.core.ids import InstanceId
 from chiverun.core.ids import SeatIndex
-from chiverun.core.messages import SeatMark
+from chiverun.core.messages import SeatHolderRecord
 from chiverun.core.tables import Mark
 from chiverun.core.tables import Member
 from chiverun.core.ticket import Zone
@@ -117,7 +117,9 @@
         return
     seats.news_at = now
     marks = tuple(
-        SeatMark(seat=s, epoch=seats.marks[s].epoch, life=seats.marks[s].life)
+        SeatHolderRecord(
+            seat=s, epoch=seats.marks[s].epoch, life=seats.marks[s].life
+        )
         for s in seats.news
     )
     for row in ctx.members.in_zone(ctx.identity.zone):
@@ -299,7 +301,9 @@
     for row in ctx.members.live_in_zone(ctx.identity.zone):
         if row.advert is not None:
             claims = tuple(
-                SeatMark(seat=c.seat, epoch=c.epoch, life=row.advert.life)
+                SeatHolderRecord(
+                    seat=c.seat, epoch=c.epoch, life=row.advert.life
+                )
                 for c in row.advert.seats
             )
             later = seat_rules.later_marks(ctx.seats, claims)
--- a/tests/core/test_seats.py
+++ b/tests/core/test_seats.py
@@ -5,7 +5,7 @@
 from nose2.tools import params
 
 from chiverun.core.messages import MemberState
-from chiverun.core.messages import SeatMark
+from chiverun.core.messages import SeatHolderRecord
 from chiverun.core.seats import Claim
 from chiverun.core.seats import CLAIM_EPOCHS
 from chiverun.core.seats import ClaimPlan
@@ -130,8 +130,8 @@
         one.held[0] = Held(epoch=5, short_from=0.0, long_from=0.0)
         self.assertEqual({0}, lost_seats(one, "x"))
         self.assertEqual(set(), lost_seats(one, "y"))
-        stale = SeatMark(seat=0, epoch=5, life="x")
-        fresh = SeatMark(seat=0, epoch=5, life="y")
+        stale = SeatHolderRecord(seat=0, epoch=5, life="x")
+        fresh = SeatHolderRecord(seat=0, epoch=5, life="y")
         self.assertEqual((fresh,), later_marks(one, (stale,)))
         self.assertEqual((), later_marks(one, (fresh,)))
 
