--- a/chiverun/integrations/web.py
+++ b/chiverun/integrations/web.py
@@ -88,7 +88,7 @@
 Handler = Callable[[IncomingRequest], Response]
 
 
-def json_reply(value: Any, status: int = 200) -> Response:
+def json_response(value: Any, status: int = 200) -> Response:
     """Return a JSON response."""
     return Response(
         status=status,
--- a/chiverun/runtime/public.py
+++ b/chiverun/runtime/public.py
@@ -12,7 +12,7 @@
 from chiverun.core.ticket import Service
 from chiverun.integrations.web import error_reply
 from chiverun.integrations.web import IncomingRequest
-from chiverun.integrations.web import json_reply
+from chiverun.integrations.web import json_response
 from chiverun.integrations.web import Response
 from chiverun.runtime.status import make_status
 
@@ -59,9 +59,9 @@
             case ("POST", "/v1/keys"):
                 return self._issue(req)
             case ("GET", "/v1/status"):
-                return json_reply(make_status(self._sources))
+                return json_response(make_status(self._sources))
             case ("GET", "/healthz"):
-                return json_reply({"status": "ok"})
+                return json_response({"status": "ok"})
             case ("GET", "/readyz"):
                 return self._ready()
             case _:
@@ -95,7 +95,7 @@
                 ResultCode.NOT_READY,
                 "no instance is known to serve",
             )
-        return json_reply(result)
+        return json_response(result)
 
     def _issue(self, req: IncomingRequest) -> Response:
         text = _query(req).get("count", "1")
@@ -130,7 +130,7 @@
                 ResultCode.NO_CAPACITY,
                 "the key table is full; ask another instance",
             )
-        return json_reply(
+        return json_response(
             {
                 "keys": keys,
                 "entry": identity.entry,
@@ -148,7 +148,7 @@
             reasons.append("the instance is leaving")
         if plane.fork:
             reasons.append(plane.fork)
-        return json_reply(
+        return json_response(
             {"ready": not reasons, "reasons": reasons},
             status=503 if reasons else 200,
         )
