--- a/chiverun/core/messages.py
+++ b/chiverun/core/messages.py
@@ -201,7 +201,7 @@
     life: BootId
 
 
-class SeatMarks(_Message, tag=11):
+class SeatHolderRecords(_Message, tag=11):
     """Marks of the seats of a zone, of which the receiver lacks some."""
 
     zone: ZoneName
@@ -220,7 +220,7 @@
     | StateChunk
     | SeatRequest
     | SeatTransfer
-    | SeatMarks
+    | SeatHolderRecords
     | SeatTaken
 )
 
--- a/chiverun/runtime/control.py
+++ b/chiverun/runtime/control.py
@@ -17,7 +17,7 @@
 from chiverun.core.messages import Ping
 from chiverun.core.messages import PingRequest
 from chiverun.core.messages import Pull
-from chiverun.core.messages import SeatMarks
+from chiverun.core.messages import SeatHolderRecords
 from chiverun.core.messages import SeatRequest
 from chiverun.core.messages import SeatTaken
 from chiverun.core.messages import SeatTransfer
@@ -102,7 +102,7 @@
                 seattransfer.on_seat_transfer(self, message)
             case SeatTaken():
                 seattransfer.on_seat_taken(self, message)
-            case SeatMarks():
+            case SeatHolderRecords():
                 gossip.on_marks(self, message)
 
     def handle(self, event: Event) -> None:
--- a/chiverun/runtime/gossip.py
+++ b/chiverun/runtime/gossip.py
@@ -14,7 +14,7 @@
 from chiverun.core.messages import Ping
 from chiverun.core.messages import SeatClaim
 from chiverun.core.messages import SeatHolderRecord
-from chiverun.core.messages import SeatMarks
+from chiverun.core.messages import SeatHolderRecords
 from chiverun.core.tables import Mark
 from chiverun.runtime import ticketspread
 
@@ -149,13 +149,13 @@
     if marks:
         ctx.send(
             address,
-            SeatMarks(
+            SeatHolderRecords(
                 zone=ctx.identity.zone, sender=ctx.identity.peer, marks=marks
             ),
         )
 
 
-def on_marks(ctx: "ControlContext", message: SeatMarks) -> None:
+def on_marks(ctx: "ControlContext", message: SeatHolderRecords) -> None:
     """Take over later holders; answer with those the sender lacks."""
     if message.zone != ctx.identity.zone:
         return
--- a/tests/runtime/test_seatsystem.py
+++ b/tests/runtime/test_seatsystem.py
@@ -9,7 +9,7 @@
 from chiverun.core.messages import Ack
 from chiverun.core.messages import MemberState
 from chiverun.core.messages import MemberUpdate
-from chiverun.core.messages import SeatMarks
+from chiverun.core.messages import SeatHolderRecords
 from chiverun.core.messages import SeatRequest
 from chiverun.core.messages import SeatTransfer
 from chiverun.core.messages import Tickets
@@ -262,7 +262,7 @@
             m
             for to, m in told
             if to == two.peer
-            and isinstance(m, SeatMarks)
+            and isinstance(m, SeatHolderRecords)
             and any(mark.epoch >= 2 * CLAIM_EPOCHS for mark in m.marks)
         ]
         self.assertGreaterEqual(len(news), 4)
