--- a/chiverun/integrations/web.py
+++ b/chiverun/integrations/web.py
@@ -97,7 +97,7 @@
     )
 
 
-def error_reply(
+def error_response(
     status: int, outcome: Outcome, code: ResultCode, message: str
 ) -> Response:
     """Return an error response that states the outcome and the code."""
@@ -196,7 +196,7 @@
             outcome, code = Outcome.UNKNOWN, ResultCode.INTERNAL
         else:
             outcome, code = Outcome.NOT_RUN, ResultCode.REQUEST_MALFORMED
-        reply = error_reply(int(text[:3]), outcome, code, msg or text)
+        reply = error_response(int(text[:3]), outcome, code, msg or text)
         self.status = text.encode("latin-1")
         self.outheaders = [
             (name.encode("latin-1"), value.encode("latin-1"))
@@ -306,7 +306,7 @@
             req = _incoming(environ)
         except ChiverunError as exc:
             # The rest of the body may still come on this connection.
-            reply = error_reply(400, Outcome.NOT_RUN, exc.code, exc.message)
+            reply = error_response(400, Outcome.NOT_RUN, exc.code, exc.message)
             closing = (("Connection", "close"),)
         else:
             reply = self._handle(req)
@@ -333,7 +333,9 @@
                 if isinstance(exc, ChiverunError)
                 else ResultCode.INTERNAL
             )
-            return error_reply(500, Outcome.UNKNOWN, code, type(exc).__name__)
+            return error_response(
+                500, Outcome.UNKNOWN, code, type(exc).__name__
+            )
 
 
 def _incoming(environ: dict[str, Any]) -> IncomingRequest:
--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -33,7 +33,7 @@
 from chiverun.core.ticket import Region
 from chiverun.core.work import Work
 from chiverun.integrations.backend import OutgoingRequest
-from chiverun.integrations.web import error_reply
+from chiverun.integrations.web import error_response
 from chiverun.integrations.web import IncomingRequest
 from chiverun.integrations.web import Response
 from chiverun.runtime.execution import Attempt
@@ -145,7 +145,7 @@
             # An earlier try with the same key may have run.
             key = IdempotencyKey(req.header("idempotency-key"))
             outcome = self._keys.outcome(key)
-            return error_reply(400, outcome, exc.code, exc.message)
+            return error_response(400, outcome, exc.code, exc.message)
         if request.work.request_class.repeatable:
             return to_response(self._run(request))
         return self._handle_keyed(req, request)
@@ -157,7 +157,7 @@
     ) -> Response:
         key = IdempotencyKey(req.header("idempotency-key"))
         if not key:
-            return error_reply(
+            return error_response(
                 428,
                 Outcome.NOT_RUN,
                 ResultCode.KEY_REQUIRED,
@@ -192,7 +192,7 @@
             case Replay(result=result):
                 return to_response(result)
             case Refuse(outcome=outcome, code=code):
-                return error_reply(409, outcome, code, f"key {key}")
+                return error_response(409, outcome, code, f"key {key}")
 
     def _run_keyed(
         self, key: IdempotencyKey, request: EntryRequest
--- a/chiverun/runtime/forward.py
+++ b/chiverun/runtime/forward.py
@@ -24,7 +24,7 @@
 from chiverun.core.ticket import Service
 from chiverun.core.ticket import Zone
 from chiverun.core.work import Work
-from chiverun.integrations.web import error_reply
+from chiverun.integrations.web import error_response
 from chiverun.integrations.web import IncomingRequest
 from chiverun.integrations.web import Response
 from chiverun.runtime.execution import Content
@@ -78,7 +78,7 @@
         """Run a peer's request once."""
         with self._lock:
             if self._is_refusing:
-                return error_reply(
+                return error_response(
                     503,
                     Outcome.NOT_RUN,
                     ResultCode.LEAVING,
@@ -96,7 +96,7 @@
         try:
             work = self._work(req)
         except (ChiverunError, ValueError) as exc:
-            return error_reply(
+            return error_response(
                 400, Outcome.NOT_RUN, ResultCode.REQUEST_MALFORMED, str(exc)
             )
         content = Content(
@@ -183,7 +183,7 @@
         work.deadline - clock.monotonic(),
     )
     if reservation is None:
-        return error_reply(
+        return error_response(
             503,
             refusal,
             ResultCode.LINK_CAP,
@@ -199,7 +199,7 @@
         links.note_response(name, actual)
     if links.pace(reservation, actual, work.deadline):
         return reply
-    return error_reply(
+    return error_response(
         502,
         Outcome.UNKNOWN,
         ResultCode.BACKEND_TIMEOUT,
@@ -221,6 +221,6 @@
             body=end.body,
         )
     status = 503 if classified.outcome is Outcome.NOT_RUN else 502
-    return error_reply(
+    return error_response(
         status, classified.outcome, classified.code, type(end).__name__
     )
--- a/chiverun/runtime/public.py
+++ b/chiverun/runtime/public.py
@@ -10,7 +10,7 @@
 from chiverun.core.lookup import answer_lookup
 from chiverun.core.lookup import parse_client
 from chiverun.core.ticket import Service
-from chiverun.integrations.web import error_reply
+from chiverun.integrations.web import error_response
 from chiverun.integrations.web import IncomingRequest
 from chiverun.integrations.web import json_response
 from chiverun.integrations.web import Response
@@ -50,7 +50,7 @@
         try:
             return self._handle(req)
         except ChiverunError as exc:
-            return error_reply(400, Outcome.NOT_RUN, exc.code, exc.message)
+            return error_response(400, Outcome.NOT_RUN, exc.code, exc.message)
 
     def _handle(self, req: IncomingRequest) -> Response:
         match (req.method, req.path):
@@ -65,7 +65,7 @@
             case ("GET", "/readyz"):
                 return self._ready()
             case _:
-                return error_reply(
+                return error_response(
                     404,
                     Outcome.NOT_RUN,
                     ResultCode.REQUEST_MALFORMED,
@@ -89,7 +89,7 @@
             )
         self._telemetry.lookups.add(1)
         if not result.instances:
-            return error_reply(
+            return error_response(
                 503,
                 Outcome.NOT_RUN,
                 ResultCode.NOT_READY,
@@ -105,7 +105,7 @@
                 f"count is {text!r}; valid: 1 to {KEYS_PER_CALL_MAX}",
             )
         if self._sources.plane.is_leaving:
-            return error_reply(
+            return error_response(
                 503,
                 Outcome.NOT_RUN,
                 ResultCode.LEAVING,
@@ -115,7 +115,7 @@
         if reasons:
             # A request with such a key would be refused here, and peers that
             # do not know this instance yet could not tell that it never ran.
-            return error_reply(
+            return error_response(
                 503,
                 Outcome.NOT_RUN,
                 ResultCode.NOT_READY,
@@ -124,7 +124,7 @@
         identity = self._sources.plane.identity
         keys = self._keys.issue(int(text))
         if not keys:
-            return error_reply(
+            return error_response(
                 503,
                 Outcome.NOT_RUN,
                 ResultCode.NO_CAPACITY,
--- a/chiverun/runtime/results.py
+++ b/chiverun/runtime/results.py
@@ -9,7 +9,7 @@
 from chiverun.core.exchange import ExchangeEnd
 from chiverun.core.idempotency import StoredResult
 from chiverun.core.ids import IdempotencyKey
-from chiverun.integrations.web import error_reply
+from chiverun.integrations.web import error_response
 from chiverun.integrations.web import IncomingRequest
 from chiverun.integrations.web import Response
 
@@ -38,7 +38,9 @@
         )
     outcome = Outcome.UNKNOWN if may_have_run else classified.outcome
     status = 503 if outcome is Outcome.NOT_RUN else 502
-    reply = error_reply(status, outcome, classified.code, type(end).__name__)
+    reply = error_response(
+        status, outcome, classified.code, type(end).__name__
+    )
     return StoredResult(
         outcome=outcome,
         code=classified.code,
@@ -63,7 +65,7 @@
 
 def unknown_outcome_response(key: IdempotencyKey, reason: str) -> Response:
     """Return the response to a key whose outcome nobody can tell."""
-    return error_reply(
+    return error_response(
         409,
         Outcome.UNKNOWN,
         ResultCode.KEY_OUTCOME_UNKNOWN,
