--- a/chiverun/core/messages.py
+++ b/chiverun/core/messages.py
@@ -82,13 +82,13 @@
 class Gossip(_Record):
     """What every ping and acknowledgement carries.
 
-    `marks_digest` is a hash of the sender's marks of its zone's seats.
+    `holders_digest` is a hash of the sender's marks of its zone's seats.
     """
 
     sender: Advert
     number: int
     digest: str
-    marks_digest: int = 0
+    holders_digest: int = 0
     updates: tuple[MemberUpdate, ...] = ()
     adverts: tuple[Advert, ...] = ()
     draining: tuple[DrainSign, ...] = ()
--- a/chiverun/core/seats.py
+++ b/chiverun/core/seats.py
@@ -122,7 +122,7 @@
     return True
 
 
-def marks_digest(table: SeatTable) -> int:
+def holders_digest(table: SeatTable) -> int:
     """Return a hash of the marks, 0 if there are none."""
     if table.digest is None:
         marks = sorted((s, m.epoch, m.life) for s, m in table.marks.items())
--- a/chiverun/runtime/gossip.py
+++ b/chiverun/runtime/gossip.py
@@ -52,7 +52,7 @@
         sender=make_advert(ctx),
         number=ctx.state.number,
         digest=ctx.state.digest,
-        marks_digest=seat_rules.marks_digest(ctx.seats),
+        holders_digest=seat_rules.holders_digest(ctx.seats),
         updates=membership.take_updates(ctx.members, about),
         adverts=dissemination.select_adverts(ctx.members, now, ctx.rng),
         draining=dissemination.select_drain_signs(ctx.drains, now),
@@ -123,7 +123,7 @@
 
 def has_same_marks(ctx: "ControlContext", content: Gossip) -> bool:
     """Tell whether the sender knew the same holders of the zone's seats."""
-    return content.marks_digest == seat_rules.marks_digest(ctx.seats)
+    return content.holders_digest == seat_rules.holders_digest(ctx.seats)
 
 
 def _note_marks(ctx: "ControlContext", advert: Advert) -> None:
--- a/tests/core/test_seats.py
+++ b/tests/core/test_seats.py
@@ -11,9 +11,9 @@
 from chiverun.core.seats import ClaimPlan
 from chiverun.core.seats import ended_lives
 from chiverun.core.seats import held_after_claim
+from chiverun.core.seats import holders_digest
 from chiverun.core.seats import later_marks
 from chiverun.core.seats import lost_seats
-from chiverun.core.seats import marks_digest
 from chiverun.core.seats import note_mark
 from chiverun.core.seats import note_old_classes
 from chiverun.core.seats import OLD_CLASSES_MAX
@@ -126,7 +126,7 @@
             note_mark(one, 0, Mark(epoch, life))
         for epoch, life in reversed(marks):
             note_mark(two, 0, Mark(epoch, life))
-        self.assertEqual(marks_digest(one), marks_digest(two))
+        self.assertEqual(holders_digest(one), holders_digest(two))
         one.held[0] = Held(epoch=5, short_from=0.0, long_from=0.0)
         self.assertEqual({0}, lost_seats(one, "x"))
         self.assertEqual(set(), lost_seats(one, "y"))
