--- a/chiverun/integrations/asyncserver.py
+++ b/chiverun/integrations/asyncserver.py
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class ServerState:
+class ListenerState:
     """What all connections of a listener share."""
 
     handler: Handler
@@ -79,7 +79,7 @@
 class ServerConnection(asyncio.Protocol):
     """One caller's connection."""
 
-    def __init__(self, *, state: ServerState) -> None:
+    def __init__(self, *, state: ListenerState) -> None:
         self._state = state
         self._loop = asyncio.get_running_loop()
         self._http = h11.Connection(
@@ -298,7 +298,7 @@
     return b"transfer-encoding" in names and b"content-length" in names
 
 
-async def listen(address: Address, state: ServerState) -> asyncio.Server:
+async def listen(address: Address, state: ListenerState) -> asyncio.Server:
     """Accept callers' connections at an address.
 
     Raises
--- a/chiverun/runtime/edge.py
+++ b/chiverun/runtime/edge.py
@@ -19,8 +19,8 @@
 from chiverun.integrations.asyncserver import Handler
 from chiverun.integrations.asyncserver import IncomingRequest
 from chiverun.integrations.asyncserver import listen
+from chiverun.integrations.asyncserver import ListenerState
 from chiverun.integrations.asyncserver import OutgoingResponse
-from chiverun.integrations.asyncserver import ServerState
 from chiverun.integrations.catalogstore import CatalogStore
 from chiverun.integrations.network import AddressMap
 from chiverun.integrations.peers import ZmqPeers
@@ -106,7 +106,7 @@
         self.directory = Directory(
             table=self.follower.table, leaving=self.is_stopping
         )
-        self._entry = ServerState(handler=self._handle)
+        self._entry = ListenerState(handler=self._handle)
         self._listeners: list[asyncio.Server] = []
         self._tasks: list[asyncio.Task[None]] = []
 
@@ -141,7 +141,7 @@
         self.follower.start()
         await self._listen(self.cfg.entry, self._entry)
         for address, handler in handlers.items():
-            await self._listen(address, ServerState(handler=handler))
+            await self._listen(address, ListenerState(handler=handler))
         self._spawn("follow", self.follower.follow)
         self._spawn("beat", self.follower.beat)
         _LOG.info(
@@ -214,7 +214,7 @@
         self._servers.close()
         self._peers.stop()
 
-    async def _listen(self, address: Address, state: ServerState) -> None:
+    async def _listen(self, address: Address, state: ListenerState) -> None:
         try:
             self._listeners.append(await listen(address, state))
         except OSError as exc:
--- a/standins/metastore.py
+++ b/standins/metastore.py
@@ -16,8 +16,8 @@
 from chiverun.core.ids import Address
 from chiverun.integrations.asyncserver import IncomingRequest
 from chiverun.integrations.asyncserver import listen
+from chiverun.integrations.asyncserver import ListenerState
 from chiverun.integrations.asyncserver import OutgoingResponse
-from chiverun.integrations.asyncserver import ServerState
 
 _PAGE = 50
 
@@ -50,7 +50,7 @@
 
     async def start(self, address: Address) -> asyncio.Server:
         """Listen at an address."""
-        return await listen(address, ServerState(handler=self.handle))
+        return await listen(address, ListenerState(handler=self.handle))
 
     async def put(self, key: str, value: bytes) -> int:
         """Write an item as an operator or a server does."""
--- a/tests/integrations/test_asyncserver.py
+++ b/tests/integrations/test_asyncserver.py
@@ -6,8 +6,8 @@
 from chiverun.core.catalog import ClientLimits
 from chiverun.integrations.asyncserver import IncomingRequest
 from chiverun.integrations.asyncserver import listen
+from chiverun.integrations.asyncserver import ListenerState
 from chiverun.integrations.asyncserver import OutgoingResponse
-from chiverun.integrations.asyncserver import ServerState
 
 _LIMIT_S = 20.0
 _LIMITS = ClientLimits(
@@ -22,7 +22,7 @@
     async def asyncSetUp(self) -> None:
         self.seen: list[IncomingRequest] = []
         self.cancelled = asyncio.Event()
-        self.state = ServerState(handler=self._handle, limits=_LIMITS)
+        self.state = ListenerState(handler=self._handle, limits=_LIMITS)
         server = await listen("127.0.0.1:0", self.state)
         self.addCleanup(server.close)
         self.address = server.sockets[0].getsockname()
