--- a/chiverun/core/dissemination.py
+++ b/chiverun/core/dissemination.py
@@ -15,7 +15,7 @@
 from chiverun.core.ids import ServerName
 from chiverun.core.ids import ZoneName
 from chiverun.core.messages import Advert
-from chiverun.core.messages import DrainSign
+from chiverun.core.messages import DrainNotice
 from chiverun.core.messages import StateChunk
 from chiverun.core.state import encode_state
 from chiverun.core.state import State
@@ -261,7 +261,7 @@
 
 
 def merge_drain_signs(
-    table: DrainTable, signs: tuple[DrainSign, ...], now: float
+    table: DrainTable, signs: tuple[DrainNotice, ...], now: float
 ) -> None:
     """Take over drain signs of other instances."""
     for sign in signs:
@@ -270,11 +270,13 @@
             table.until[sign.server] = until
 
 
-def select_drain_signs(table: DrainTable, now: float) -> tuple[DrainSign, ...]:
+def select_drain_signs(
+    table: DrainTable, now: float
+) -> tuple[DrainNotice, ...]:
     """Return the drain signs to pass on, newest first."""
     newest = sorted(table.until.items(), key=lambda item: -item[1])
     return tuple(
-        DrainSign(
+        DrainNotice(
             server=server, age_ms=int((now + DRAIN_SIGN_S - until) * 1000)
         )
         for server, until in newest[:DRAIN_SIGNS_PER_MESSAGE]
--- a/chiverun/core/messages.py
+++ b/chiverun/core/messages.py
@@ -72,7 +72,7 @@
     state: MemberState
 
 
-class DrainSign(_Record):
+class DrainNotice(_Record):
     """A backend server that said that it is leaving."""
 
     server: ServerName
@@ -91,7 +91,7 @@
     holders_digest: int = 0
     updates: tuple[MemberUpdate, ...] = ()
     adverts: tuple[Advert, ...] = ()
-    draining: tuple[DrainSign, ...] = ()
+    draining: tuple[DrainNotice, ...] = ()
 
 
 class _Message(
--- a/tests/runtime/test_drains.py
+++ b/tests/runtime/test_drains.py
@@ -12,7 +12,7 @@
 from chiverun.core.exchange import ShedReason
 from chiverun.core.ids import BootId
 from chiverun.core.messages import Advert
-from chiverun.core.messages import DrainSign
+from chiverun.core.messages import DrainNotice
 from chiverun.core.messages import Gossip
 from chiverun.core.messages import Ping
 from chiverun.core.state import apply_ticket
@@ -101,7 +101,7 @@
             case "report":
                 self.plane.handle(ServersLeaving(servers=frozenset({_SERVER})))
             case "peer":
-                sign = DrainSign(server=_SERVER, age_ms=100)
+                sign = DrainNotice(server=_SERVER, age_ms=100)
                 self._receive("b1-1", "b1", 2, (sign,))
             case "shed":
                 work = cap_states.work(self.clock, "b")
