--- a/chiverun/runtime/sending.py
+++ b/chiverun/runtime/sending.py
@@ -21,9 +21,9 @@
 from chiverun.integrations.asyncclient import OutgoingRequest
 from chiverun.integrations.asyncserver import Headers
 from chiverun.integrations.asyncserver import IncomingRequest
-from chiverun.runtime.header_codec import HeaderCodec
-from chiverun.runtime.header_codec import RequestMetadata
-from chiverun.runtime.header_codec import ResponseMetadata
+from chiverun.runtime.dialect import HeaderCodec
+from chiverun.runtime.dialect import RequestMetadata
+from chiverun.runtime.dialect import ResponseMetadata
 from chiverun.runtime.servertable import MISDIRECTED_S
 from chiverun.runtime.servertable import ServerRow
 
@@ -68,7 +68,7 @@
     """Sends requests and records what servers' responses tell."""
 
     def __init__(self, *, header_codec: HeaderCodec) -> None:
-        self._dialect = header_codec
+        self._header_codec = header_codec
         self._loop = asyncio.get_running_loop()
         self._numbers = itertools.count()
 
@@ -170,7 +170,9 @@
         left_s: float,
     ) -> OutgoingRequest:
         headers = end_to_end(request.headers)
-        headers = self._dialect.request_headers(headers, row.server, left_s)
+        headers = self._header_codec.request_headers(
+            headers, row.server, left_s
+        )
         has_body = request.body or request.method not in ("GET", "HEAD")
         if has_body:
             headers.append(("Content-Length", str(len(request.body))))
@@ -186,7 +188,7 @@
         )
 
     def _is_mine(self, headers: Headers, facts: RequestMetadata) -> bool:
-        echoed = self._dialect.response_metadata(200, headers).request_id
+        echoed = self._header_codec.response_metadata(200, headers).request_id
         return echoed is None or echoed == facts.request_id
 
     def _interpret(
@@ -195,7 +197,7 @@
         if not isinstance(end, Answered):
             return SendResult(end=end)
         headers = list(end.headers)
-        facts = self._dialect.response_metadata(end.status, headers)
+        facts = self._header_codec.response_metadata(end.status, headers)
         _note_keep_alive(row, headers)
         is_named = facts.is_stamped and facts.request_id == request_id
         if end.status < 300 and not is_named:
--- a/chiverun/runtime/steering.py
+++ b/chiverun/runtime/steering.py
@@ -18,9 +18,9 @@
 from chiverun.core.splits import SplitTable
 from chiverun.integrations.asyncserver import IncomingRequest
 from chiverun.integrations.asyncserver import OutgoingResponse
+from chiverun.runtime.dialect import HeaderCodec
+from chiverun.runtime.dialect import RequestMetadata
 from chiverun.runtime.edgemetrics import EdgeMetrics
-from chiverun.runtime.header_codec import HeaderCodec
-from chiverun.runtime.header_codec import RequestMetadata
 from chiverun.runtime.selection import Overloaded
 from chiverun.runtime.selection import Placement
 from chiverun.runtime.selection import placement
@@ -110,7 +110,7 @@
         metrics: EdgeMetrics,
     ) -> None:
         self.routes: RouteTable | None = None
-        self._dialect = header_codec
+        self._header_codec = header_codec
         self._selector = selector
         self._sender = sender
         self._bounds = bounds
@@ -130,7 +130,7 @@
 
         One that may outlast an instance that is stopping is refused.
         """
-        facts = self._dialect.request_metadata(incoming)
+        facts = self._header_codec.request_metadata(incoming)
         if self.routes is None:
             return self._refuse(facts, "no desired state is known yet")
         path = incoming.target.partition("?")[0]
