--- a/chiverun/core/health.py
+++ b/chiverun/core/health.py
@@ -43,7 +43,7 @@
 SHED_PAUSE_S = 0.2
 
 
-class Standing(enum.Enum):
+class Eligibility(enum.Enum):
     """Whether a server may be chosen."""
 
     OPEN = "open"
@@ -73,13 +73,13 @@
     samples: int = 0
 
 
-def standing(row: ServerHealth, now: float) -> Standing:
+def standing(row: ServerHealth, now: float) -> Eligibility:
     """Return whether the server may be chosen at `now`."""
     if now < row.draining_until:
-        return Standing.DRAINING
+        return Eligibility.DRAINING
     if now < row.ejected_until:
-        return Standing.EJECTED
-    return Standing.OPEN
+        return Eligibility.EJECTED
+    return Eligibility.OPEN
 
 
 def record(
--- a/tests/core/test_choice.py
+++ b/tests/core/test_choice.py
@@ -17,12 +17,12 @@
 from chiverun.core.exchange import ShedReason
 from chiverun.core.exchange import TimedOut
 from chiverun.core.health import aged_slowness
+from chiverun.core.health import Eligibility
 from chiverun.core.health import is_slow
 from chiverun.core.health import observe_at_least
 from chiverun.core.health import record
 from chiverun.core.health import ServerHealth
 from chiverun.core.health import SLOW_START_S
-from chiverun.core.health import Standing
 from chiverun.core.health import standing
 from chiverun.core.slots import NameSet
 from chiverun.core.slots import ServerSlots
@@ -163,16 +163,16 @@
 
 class HealthTest(unittest.TestCase):
     @params(
-        (OK, 0.01, 1, Standing.OPEN),
-        (BAD, 0.001, 2, Standing.EJECTED),
-        (Reset(detail=""), 0.01, 3, Standing.EJECTED),
-        (NotSent(detail=""), 0.001, 1, Standing.EJECTED),
-        (Shed(reason=ShedReason.OVERLOAD), 0.01, 1, Standing.EJECTED),
-        (Shed(reason=ShedReason.DRAINING), 0.01, 1, Standing.DRAINING),
-        (Shed(reason=ShedReason.DEADLINE), 0.01, 5, Standing.OPEN),
-        (TimedOut(), 2.0, 3, Standing.EJECTED),
+        (OK, 0.01, 1, Eligibility.OPEN),
+        (BAD, 0.001, 2, Eligibility.EJECTED),
+        (Reset(detail=""), 0.01, 3, Eligibility.EJECTED),
+        (NotSent(detail=""), 0.001, 1, Eligibility.EJECTED),
+        (Shed(reason=ShedReason.OVERLOAD), 0.01, 1, Eligibility.EJECTED),
+        (Shed(reason=ShedReason.DRAINING), 0.01, 1, Eligibility.DRAINING),
+        (Shed(reason=ShedReason.DEADLINE), 0.01, 5, Eligibility.OPEN),
+        (TimedOut(), 2.0, 3, Eligibility.EJECTED),
         # A caller's deadline of 5 ms says nothing about the server.
-        (TimedOut(), 0.005, 9, Standing.OPEN),
+        (TimedOut(), 0.005, 9, Eligibility.OPEN),
     )
     def test_standing_after_ends(self, end, latency_s, count, expected):
         row = ServerHealth(name="s1")
