--- a/chiverun/core/messages.py
+++ b/chiverun/core/messages.py
@@ -185,7 +185,7 @@
     sent_epoch_ms: int
 
 
-class SeatTaken(_Message, tag=12):
+class SeatTransferAck(_Message, tag=12):
     """Tells the giver of a seat that its transfer has arrived."""
 
     seat: SeatIndex
@@ -221,7 +221,7 @@
     | SeatRequest
     | SeatTransfer
     | SeatHolderRecords
-    | SeatTaken
+    | SeatTransferAck
 )
 
 _ENCODER = msgspec.msgpack.Encoder(enc_hook=encode_hook)
--- a/chiverun/runtime/control.py
+++ b/chiverun/runtime/control.py
@@ -19,8 +19,8 @@
 from chiverun.core.messages import Pull
 from chiverun.core.messages import SeatHolderRecords
 from chiverun.core.messages import SeatRequest
-from chiverun.core.messages import SeatTaken
 from chiverun.core.messages import SeatTransfer
+from chiverun.core.messages import SeatTransferAck
 from chiverun.core.messages import StateChunk
 from chiverun.core.messages import Tickets
 from chiverun.runtime import drainsystem
@@ -100,7 +100,7 @@
                 seattransfer.on_seat_request(self, message)
             case SeatTransfer():
                 seattransfer.on_seat_transfer(self, message)
-            case SeatTaken():
+            case SeatTransferAck():
                 seattransfer.on_seat_taken(self, message)
             case SeatHolderRecords():
                 gossip.on_marks(self, message)
--- a/chiverun/runtime/seattransfer.py
+++ b/chiverun/runtime/seattransfer.py
@@ -9,8 +9,8 @@
 from chiverun.core.ids import SeatIndex
 from chiverun.core.messages import MemberState
 from chiverun.core.messages import SeatRequest
-from chiverun.core.messages import SeatTaken
 from chiverun.core.messages import SeatTransfer
+from chiverun.core.messages import SeatTransferAck
 from chiverun.core.tables import Held
 from chiverun.core.tables import Mark
 from chiverun.core.tables import Member
@@ -216,7 +216,7 @@
             extra={"seat": message.seat, "age_s": round(age_s, 3)},
         )
         return
-    taken = SeatTaken(
+    taken = SeatTransferAck(
         seat=message.seat, epoch=message.epoch, life=message.life
     )
     if message.epoch <= ctx.seats.taken.get(message.seat, 0):
@@ -240,7 +240,7 @@
     queue_write(ctx, {message.seat: owner}, {})
 
 
-def on_seat_taken(ctx: "ControlContext", message: SeatTaken) -> None:
+def on_seat_taken(ctx: "ControlContext", message: SeatTransferAck) -> None:
     """End a transfer whose receiver has the seat."""
     transfer = ctx.seats.transfers.get(message.seat)
     if transfer is not None and (transfer.epoch, transfer.life) == (
