--- a/chiverun/platform/dialect.py
+++ b/chiverun/platform/dialect.py
@@ -4,9 +4,9 @@
 from chiverun.core.ids import ServerName
 from chiverun.integrations.asyncserver import Headers
 from chiverun.integrations.asyncserver import IncomingRequest
-from chiverun.runtime.dialect import RequestMetadata
-from chiverun.runtime.dialect import ResponseMetadata
-from chiverun.runtime.dialect import ServerLoad
+from chiverun.runtime.headercodec import RequestMetadata
+from chiverun.runtime.headercodec import ResponseMetadata
+from chiverun.runtime.headercodec import ServerLoad
 
 _REQUEST_ID = "x-chiverun-request-id"
 _AFFINITY_KEY = "x-chiverun-affinity-key"
--- a/chiverun/runtime/edge.py
+++ b/chiverun/runtime/edge.py
@@ -24,10 +24,10 @@
 from chiverun.integrations.catalogstore import CatalogStore
 from chiverun.integrations.network import AddressMap
 from chiverun.integrations.peers import ZmqPeers
-from chiverun.runtime.dialect import HeaderCodec
 from chiverun.runtime.directory import Directory
 from chiverun.runtime.edgemetrics import EdgeMetrics
 from chiverun.runtime.follower import CatalogFollower
+from chiverun.runtime.headercodec import HeaderCodec
 from chiverun.runtime.selection import Selector
 from chiverun.runtime.sending import Sender
 from chiverun.runtime.servertable import ServerTable
--- a/chiverun/runtime/sending.py
+++ b/chiverun/runtime/sending.py
@@ -21,9 +21,9 @@
 from chiverun.integrations.asyncclient import OutgoingRequest
 from chiverun.integrations.asyncserver import Headers
 from chiverun.integrations.asyncserver import IncomingRequest
-from chiverun.runtime.dialect import HeaderCodec
-from chiverun.runtime.dialect import RequestMetadata
-from chiverun.runtime.dialect import ResponseMetadata
+from chiverun.runtime.headercodec import HeaderCodec
+from chiverun.runtime.headercodec import RequestMetadata
+from chiverun.runtime.headercodec import ResponseMetadata
 from chiverun.runtime.servertable import MISDIRECTED_S
 from chiverun.runtime.servertable import ServerRow
 
--- a/chiverun/runtime/steering.py
+++ b/chiverun/runtime/steering.py
@@ -18,9 +18,9 @@
 from chiverun.core.splits import SplitTable
 from chiverun.integrations.asyncserver import IncomingRequest
 from chiverun.integrations.asyncserver import OutgoingResponse
-from chiverun.runtime.dialect import HeaderCodec
-from chiverun.runtime.dialect import RequestMetadata
 from chiverun.runtime.edgemetrics import EdgeMetrics
+from chiverun.runtime.headercodec import HeaderCodec
+from chiverun.runtime.headercodec import RequestMetadata
 from chiverun.runtime.selection import Overloaded
 from chiverun.runtime.selection import Placement
 from chiverun.runtime.selection import placement
