--- a/chiverun/core/choice.py
+++ b/chiverun/core/choice.py
@@ -6,11 +6,11 @@
 
 from chiverun.core.health import aged_slowness
 from chiverun.core.health import Eligibility
+from chiverun.core.health import eligibility
 from chiverun.core.health import is_slow
 from chiverun.core.health import ServerHealth
 from chiverun.core.health import SLOW_FACTOR
 from chiverun.core.health import slow_start_share
-from chiverun.core.health import standing
 from chiverun.core.ids import ServerName
 from chiverun.core.slots import NameSet
 from chiverun.core.slots import ServerSlots
@@ -95,7 +95,7 @@
         usable = [
             name
             for name in fitting
-            if standing(lookup(name)[0], now) is Eligibility.OPEN
+            if eligibility(lookup(name)[0], now) is Eligibility.OPEN
         ] or [name for name in fitting if _may_try(lookup, name, now)]
     if len(usable) > 2:
         usable = rng.sample(usable, 2)
@@ -115,12 +115,12 @@
 
 def _is_normal(lookup: Lookup, name: ServerName, now: float) -> bool:
     health, _ = lookup(name)
-    return standing(health, now) is Eligibility.OPEN and not is_slow(health)
+    return eligibility(health, now) is Eligibility.OPEN and not is_slow(health)
 
 
 def _may_try(lookup: Lookup, name: ServerName, now: float) -> bool:
     health, slots = lookup(name)
-    is_ejected = standing(health, now) is Eligibility.EJECTED
+    is_ejected = eligibility(health, now) is Eligibility.EJECTED
     return is_ejected and slots.in_flight == 0
 
 
@@ -128,7 +128,7 @@
     lookup: Lookup, name: ServerName, now: float, may_probe: bool
 ) -> bool:
     health, slots = lookup(name)
-    if standing(health, now) is not Eligibility.OPEN:
+    if eligibility(health, now) is not Eligibility.OPEN:
         return False
     if is_slow(health):
         # One probe once the estimate has aged.
--- a/chiverun/core/health.py
+++ b/chiverun/core/health.py
@@ -73,7 +73,7 @@
     samples: int = 0
 
 
-def standing(row: ServerHealth, now: float) -> Eligibility:
+def eligibility(row: ServerHealth, now: float) -> Eligibility:
     """Return whether the server may be chosen at `now`."""
     if now < row.draining_until:
         return Eligibility.DRAINING
--- a/chiverun/core/healthtable.py
+++ b/chiverun/core/healthtable.py
@@ -3,9 +3,9 @@
 from typing import TYPE_CHECKING
 
 from chiverun.core.health import Eligibility
+from chiverun.core.health import eligibility
 from chiverun.core.health import note_returned
 from chiverun.core.health import ServerHealth
-from chiverun.core.health import standing
 from chiverun.core.ids import ServerName
 from chiverun.core.ticket import Server
 from chiverun.core.ticket import ServerState
@@ -54,7 +54,7 @@
         return frozenset(
             name
             for name, row in self.items()
-            if standing(row, now) is Eligibility.DRAINING
+            if eligibility(row, now) is Eligibility.DRAINING
         )
 
     def may_use(
@@ -66,5 +66,5 @@
             current is not None
             and current.state is ServerState.ACTIVE
             and name not in snapshot.leaving_servers
-            and standing(self[name], now) is not Eligibility.DRAINING
+            and eligibility(self[name], now) is not Eligibility.DRAINING
         )
--- a/chiverun/runtime/selection.py
+++ b/chiverun/runtime/selection.py
@@ -8,7 +8,7 @@
 from chiverun.core.catalog import ServiceSpec
 from chiverun.core.edgesettings import EdgeBounds
 from chiverun.core.health import Eligibility
-from chiverun.core.health import standing
+from chiverun.core.health import eligibility
 from chiverun.core.ids import InstanceId
 from chiverun.core.ids import RegionName
 from chiverun.core.ids import ServerName
@@ -212,7 +212,7 @@
             row
             for row in rows
             if now >= row.misdirected_until
-            and standing(row.health, now) is Eligibility.OPEN
+            and eligibility(row.health, now) is Eligibility.OPEN
         ]
         # Where all servers stall, they are overloaded rather than silent.
         lively = [
--- a/tests/core/test_choice.py
+++ b/tests/core/test_choice.py
@@ -18,12 +18,12 @@
 from chiverun.core.exchange import TimedOut
 from chiverun.core.health import aged_slowness
 from chiverun.core.health import Eligibility
+from chiverun.core.health import eligibility
 from chiverun.core.health import is_slow
 from chiverun.core.health import observe_at_least
 from chiverun.core.health import record
 from chiverun.core.health import ServerHealth
 from chiverun.core.health import SLOW_START_S
-from chiverun.core.health import standing
 from chiverun.core.slots import NameSet
 from chiverun.core.slots import ServerSlots
 from chiverun.core.times import ClassTimes
@@ -178,7 +178,7 @@
         row = ServerHealth(name="s1")
         for _ in range(count):
             record(row, end, latency_s, 0.01, 1000.0)
-        self.assertIs(expected, standing(row, 1000.1))
+        self.assertIs(expected, eligibility(row, 1000.1))
 
     def test_fast_errors_count_as_slow(self):
         """Guards against a broken server that attracts traffic."""
