--- a/chiverun/core/messages.py
+++ b/chiverun/core/messages.py
@@ -179,7 +179,7 @@
     epoch: int
     instance: InstanceId
     life: BootId
-    giver: Address
+    previous_holder: Address
     short_ms: int
     long_ms: int
     sent_epoch_ms: int
--- a/chiverun/runtime/seattransfer.py
+++ b/chiverun/runtime/seattransfer.py
@@ -180,7 +180,7 @@
         epoch=transfer.epoch,
         instance=transfer.receiver,
         life=transfer.life,
-        giver=ctx.identity.peer,
+        previous_holder=ctx.identity.peer,
         short_ms=_left_ms(transfer.short_from, now),
         long_ms=_left_ms(transfer.long_from, now),
         sent_epoch_ms=int(ctx.clock.wall() * 1000),
@@ -220,7 +220,7 @@
         seat=message.seat, epoch=message.epoch, life=message.life
     )
     if message.epoch <= ctx.seats.taken.get(message.seat, 0):
-        ctx.send(message.giver, taken)
+        ctx.send(message.previous_holder, taken)
         return
     known = ctx.seats.marks.get(message.seat)
     if known is not None and known > Mark(message.epoch, message.life):
@@ -234,7 +234,7 @@
         now + message.long_ms / 1000.0,
     )
     gain(ctx, message.seat, message.epoch)
-    ctx.send(message.giver, taken)
+    ctx.send(message.previous_holder, taken)
     # The giver writes the record too, but may die before it can.
     owner = own_owner(ctx, message.epoch)
     queue_write(ctx, {message.seat: owner}, {})
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -117,12 +117,14 @@
                 entry[1] = max(now, grant.work.deadline + CLOCK_MARGIN_S)
 
     def _move(self, zones, value):
-        giver, taker = zones[value % 2], zones[1 - value % 2]
-        moved = [s for s in giver.held if s.index == value % 4]
-        giver.held = tuple(s for s in giver.held if s not in moved)
-        giver.publish()
-        if moved and giver.admission.seat_in_use(moved[0].index):
-            giver.held += tuple(moved)
+        previous_holder, taker = zones[value % 2], zones[1 - value % 2]
+        moved = [s for s in previous_holder.held if s.index == value % 4]
+        previous_holder.held = tuple(
+            s for s in previous_holder.held if s not in moved
+        )
+        previous_holder.publish()
+        if moved and previous_holder.admission.seat_in_use(moved[0].index):
+            previous_holder.held += tuple(moved)
         else:
             taker.held += tuple(moved)
         for each in zones:
