--- a/chiverun/runtime/sending.py
+++ b/chiverun/runtime/sending.py
@@ -184,10 +184,12 @@
                 for name, value in headers
             ],
             body=request.body,
-            is_mine=lambda rows: self._is_mine(rows, facts),
+            is_mine=lambda rows: self._matches_request(rows, facts),
         )
 
-    def _is_mine(self, headers: Headers, facts: RequestMetadata) -> bool:
+    def _matches_request(
+        self, headers: Headers, facts: RequestMetadata
+    ) -> bool:
         echoed = self._header_codec.response_metadata(200, headers).request_id
         return echoed is None or echoed == facts.request_id
 
