--- a/chiverun/platform/serve.py
+++ b/chiverun/platform/serve.py
@@ -7,7 +7,7 @@
 
 from chiverun.core.edgesettings import EdgeSettings
 from chiverun.integrations.logs import set_up_stdout_logs
-from chiverun.platform.dialect import PlatformHeaderCodec
+from chiverun.platform.headercodec import PlatformHeaderCodec
 from chiverun.platform.ingress import Ingress
 from chiverun.platform.settings import read_platform_settings
 from chiverun.platform.store import PlatformStore
