--- a/chiverun/core/seats.py
+++ b/chiverun/core/seats.py
@@ -25,11 +25,11 @@
 from chiverun.core.messages import SeatHolderRecord
 from chiverun.core.shift import SHIFT_WINDOW_S
 from chiverun.core.tables import Held
-from chiverun.core.tables import Mark
 from chiverun.core.tables import Member
 from chiverun.core.tables import MemberTable
 from chiverun.core.tables import OldClasses
 from chiverun.core.tables import Owner
+from chiverun.core.tables import SeatHolder
 from chiverun.core.tables import SeatTable
 from chiverun.core.ticket import Length
 from chiverun.core.ticket import Server
@@ -94,7 +94,7 @@
     rank: int
     live: int
     ended: frozenset[BootId]
-    marks: Mapping[SeatIndex, Mark]
+    marks: Mapping[SeatIndex, SeatHolder]
     overdue: frozenset[SeatIndex]
 
 
@@ -112,7 +112,7 @@
     return math.ceil(seats / max(1, live))
 
 
-def note_mark(table: SeatTable, seat: SeatIndex, mark: Mark) -> bool:
+def note_mark(table: SeatTable, seat: SeatIndex, mark: SeatHolder) -> bool:
     """Take over a mark; return whether it is later than the known one."""
     known = table.marks.get(seat)
     if not 0 <= seat < SEATS_MAX or (known is not None and mark <= known):
@@ -139,7 +139,7 @@
         SeatHolderRecord(seat=m.seat, epoch=known.epoch, life=known.life)
         for m in marks
         if (known := table.marks.get(m.seat)) is not None
-        and known > Mark(m.epoch, m.life)
+        and known > SeatHolder(m.epoch, m.life)
     )
 
 
@@ -149,7 +149,8 @@
     return {
         seat
         for seat, held in mine.items()
-        if seat in table.marks and table.marks[seat] > Mark(held.epoch, life)
+        if seat in table.marks
+        and table.marks[seat] > SeatHolder(held.epoch, life)
     }
 
 
@@ -212,7 +213,7 @@
             continue
         if owner is not None and not _has_ended(owner, plan, me):
             continue
-        mark = plan.marks.get(seat, Mark(0, BootId("")))
+        mark = plan.marks.get(seat, SeatHolder(0, BootId("")))
         epoch = record.epoch(seat)
         if (
             mark.epoch > epoch
--- a/chiverun/core/tables.py
+++ b/chiverun/core/tables.py
@@ -183,7 +183,7 @@
 
 
 @dataclasses.dataclass(frozen=True, order=True)
-class Mark:
+class SeatHolder:
     """The latest holder known of a seat; the greater mark is the later."""
 
     epoch: int
@@ -210,7 +210,9 @@
     transfers: dict[SeatIndex, Transfer] = dataclasses.field(
         default_factory=dict
     )
-    marks: dict[SeatIndex, Mark] = dataclasses.field(default_factory=dict)
+    marks: dict[SeatIndex, SeatHolder] = dataclasses.field(
+        default_factory=dict
+    )
     digest: int | None = None
     taken: dict[SeatIndex, int] = dataclasses.field(default_factory=dict)
     news: dict[SeatIndex, int] = dataclasses.field(default_factory=dict)
--- a/chiverun/runtime/gossip.py
+++ b/chiverun/runtime/gossip.py
@@ -15,7 +15,7 @@
 from chiverun.core.messages import SeatClaim
 from chiverun.core.messages import SeatHolderRecord
 from chiverun.core.messages import SeatHolderRecords
-from chiverun.core.tables import Mark
+from chiverun.core.tables import SeatHolder
 from chiverun.runtime import ticketspread
 
 if TYPE_CHECKING:
@@ -129,7 +129,7 @@
 def _note_marks(ctx: "ControlContext", advert: Advert) -> None:
     if advert.zone == ctx.identity.zone:
         for claim in advert.seats:
-            mark = Mark(claim.epoch, advert.life)
+            mark = SeatHolder(claim.epoch, advert.life)
             seat_rules.note_mark(ctx.seats, claim.seat, mark)
 
 
@@ -160,7 +160,7 @@
     if message.zone != ctx.identity.zone:
         return
     for m in message.marks:
-        seat_rules.note_mark(ctx.seats, m.seat, Mark(m.epoch, m.life))
+        seat_rules.note_mark(ctx.seats, m.seat, SeatHolder(m.epoch, m.life))
     later = seat_rules.later_marks(ctx.seats, message.marks)
     send_marks(ctx, message.sender, later)
 
--- a/chiverun/runtime/seatsystem.py
+++ b/chiverun/runtime/seatsystem.py
@@ -10,8 +10,8 @@
 from chiverun.core.ids import InstanceId
 from chiverun.core.ids import SeatIndex
 from chiverun.core.messages import SeatHolderRecord
-from chiverun.core.tables import Mark
 from chiverun.core.tables import Member
+from chiverun.core.tables import SeatHolder
 from chiverun.core.ticket import Zone
 from chiverun.runtime import gossip
 from chiverun.runtime import membersystem
@@ -221,7 +221,7 @@
     if report.record is not None:
         _note_record(ctx, report.record)
     for claim in report.claims:
-        mark = Mark(claim.epoch, ctx.identity.life)
+        mark = SeatHolder(claim.epoch, ctx.identity.life)
         known = ctx.seats.marks.get(claim.seat)
         if claim.seat in ctx.seats.held or (known and known > mark):
             continue
@@ -336,7 +336,7 @@
     rows = ctx.members.rows
     lives = {m.life for m in rows.values()}
     for seat, owner in record.owners.items():
-        mark = Mark(owner.epoch, owner.life)
+        mark = SeatHolder(owner.epoch, owner.life)
         seat_rules.note_mark(ctx.seats, seat, mark)
         if (
             owner.life in lives
--- a/chiverun/runtime/seattransfer.py
+++ b/chiverun/runtime/seattransfer.py
@@ -12,10 +12,10 @@
 from chiverun.core.messages import SeatTransfer
 from chiverun.core.messages import SeatTransferAck
 from chiverun.core.tables import Held
-from chiverun.core.tables import Mark
 from chiverun.core.tables import Member
 from chiverun.core.tables import Owner
 from chiverun.core.tables import Releasing
+from chiverun.core.tables import SeatHolder
 from chiverun.core.tables import Transfer
 from chiverun.core.ticket import Zone
 from chiverun.runtime.events import SeatsWritten
@@ -152,7 +152,7 @@
         receiver=row.instance,
         life=row.life,
     )
-    seat_rules.note_mark(ctx.seats, seat, Mark(epoch, row.life))
+    seat_rules.note_mark(ctx.seats, seat, SeatHolder(epoch, row.life))
     return member_owner(row, epoch)
 
 
@@ -223,7 +223,7 @@
         ctx.send(message.previous_holder, taken)
         return
     known = ctx.seats.marks.get(message.seat)
-    if known is not None and known > Mark(message.epoch, message.life):
+    if known is not None and known > SeatHolder(message.epoch, message.life):
         return
     now = ctx.clock.monotonic()
     ctx.seats.taken[message.seat] = message.epoch
@@ -252,7 +252,7 @@
 
 def gain(ctx: "ControlContext", seat: SeatIndex, epoch: int) -> None:
     """Note a seat that this instance holds from now on."""
-    mark = Mark(epoch, ctx.identity.life)
+    mark = SeatHolder(epoch, ctx.identity.life)
     seat_rules.note_mark(ctx.seats, seat, mark)
     ctx.seats.news[seat] = _NEWS_SENDS
 
--- a/tests/core/test_seats.py
+++ b/tests/core/test_seats.py
@@ -23,10 +23,10 @@
 from chiverun.core.seats import with_owners
 from chiverun.core.seats import without_owner
 from chiverun.core.tables import Held
-from chiverun.core.tables import Mark
 from chiverun.core.tables import Member
 from chiverun.core.tables import MemberTable
 from chiverun.core.tables import Owner
+from chiverun.core.tables import SeatHolder
 from chiverun.core.tables import SeatTable
 from standins.planes import make_state
 from standins.planes import SHORT
@@ -76,19 +76,19 @@
         (
             "record behind a live holder",
             _owner(life="me"),
-            {"marks": {0: Mark(8, "c1")}},
+            {"marks": {0: SeatHolder(8, "c1")}},
             [],
         ),
         (
             "record behind a silent holder",
             _owner(life="me"),
-            {"marks": {0: Mark(8, "c1")}, "ended": frozenset({"c1"})},
+            {"marks": {0: SeatHolder(8, "c1")}, "ended": frozenset({"c1"})},
             _claim(8),
         ),
         (
             "holder never took the seat",
             _owner(life="me"),
-            {"marks": {0: Mark(8, "c1")}, "overdue": frozenset({0})},
+            {"marks": {0: SeatHolder(8, "c1")}, "overdue": frozenset({0})},
             _claim(8),
         ),
     )
@@ -123,9 +123,9 @@
         one, two = SeatTable(), SeatTable()
         marks = [(4, "x"), (5, "x"), (5, "y")]
         for epoch, life in marks:
-            note_mark(one, 0, Mark(epoch, life))
+            note_mark(one, 0, SeatHolder(epoch, life))
         for epoch, life in reversed(marks):
-            note_mark(two, 0, Mark(epoch, life))
+            note_mark(two, 0, SeatHolder(epoch, life))
         self.assertEqual(holders_digest(one), holders_digest(two))
         one.held[0] = Held(epoch=5, short_from=0.0, long_from=0.0)
         self.assertEqual({0}, lost_seats(one, "x"))
@@ -138,7 +138,7 @@
     @params(-1, SEATS_MAX)
     def test_marks_are_bounded(self, seat) -> None:
         table = SeatTable()
-        self.assertFalse(note_mark(table, seat, Mark(1, "x")))
+        self.assertFalse(note_mark(table, seat, SeatHolder(1, "x")))
         self.assertEqual({}, table.marks)
 
 
