--- a/chiverun/core/edgemessages.py
+++ b/chiverun/core/edgemessages.py
@@ -12,7 +12,7 @@
 from chiverun.core.replica import Versioned
 
 
-class Beat(msgspec.Struct, frozen=True, kw_only=True, tag="b"):
+class Heartbeat(msgspec.Struct, frozen=True, kw_only=True, tag="b"):
     """Sign of life of a machine.
 
     `reads_store` tells whether its last read of the store succeeded.
@@ -55,7 +55,7 @@
     items: list[Versioned]
 
 
-EdgeMessage = Beat | Update | Pull | Snapshot
+EdgeMessage = Heartbeat | Update | Pull | Snapshot
 
 # Smaller messages gain nothing.
 COMPRESS_BYTES_MIN = 512
--- a/chiverun/core/peertable.py
+++ b/chiverun/core/peertable.py
@@ -8,7 +8,7 @@
 import dataclasses
 
 from chiverun.core.catalog import Machine
-from chiverun.core.edgemessages import Beat
+from chiverun.core.edgemessages import Heartbeat
 from chiverun.core.ids import InstanceId
 
 BEAT_PERIOD_S = 0.5
@@ -27,7 +27,7 @@
 class PeerRow:
     """Another machine; `heard_at` is monotonic seconds."""
 
-    beat: Beat
+    beat: Heartbeat
     heard_at: float
 
 
@@ -50,7 +50,7 @@
         self._machines: dict[InstanceId, Machine] = {me.name: me}
         self._known: set[InstanceId] = {me.name}
 
-    def note_beat(self, beat: Beat, now: float) -> bool:
+    def note_beat(self, beat: Heartbeat, now: float) -> bool:
         """Take over a sign of life; return whether the machine was silent."""
         name = beat.machine.name
         if name == self.me.name:
--- a/chiverun/runtime/follower.py
+++ b/chiverun/runtime/follower.py
@@ -17,7 +17,7 @@
 from chiverun.core.catalog import Machine
 from chiverun.core.catalog import Revision
 from chiverun.core.catalog import Server
-from chiverun.core.edgemessages import Beat
+from chiverun.core.edgemessages import Heartbeat
 from chiverun.core.edgemessages import Pull
 from chiverun.core.edgemessages import Snapshot
 from chiverun.core.edgemessages import Update
@@ -131,7 +131,7 @@
     def send_beats(self) -> None:
         """Send one sign of life to the machines that need it."""
         message = edgemessages.encode(
-            Beat(
+            Heartbeat(
                 machine=self._me,
                 life=self._life,
                 leaving=self.leaving,
@@ -284,7 +284,7 @@
             _LOG.warning("message unreadable", extra={"reason": str(exc)})
             return
         match message:
-            case Beat():
+            case Heartbeat():
                 self._take_beat(message)
             case Update():
                 self._take_update(message)
@@ -295,7 +295,7 @@
                     self._take_listing(message.items, message.as_of, "peer")
                     self._needs_listing = False
 
-    def _take_beat(self, beat: Beat) -> None:
+    def _take_beat(self, beat: Heartbeat) -> None:
         row = self.table.rows.get(beat.machine.name)
         was_leaving = row is not None and row.beat.leaving
         is_new = self.table.note_beat(beat, self._loop.time())
--- a/tests/core/test_peertable.py
+++ b/tests/core/test_peertable.py
@@ -5,7 +5,7 @@
 from nose2.tools import params
 
 from chiverun.core.catalog import Machine
-from chiverun.core.edgemessages import Beat
+from chiverun.core.edgemessages import Heartbeat
 from chiverun.core.peertable import HUBS
 from chiverun.core.peertable import PeerTable
 from chiverun.core.peertable import SILENT_AFTER_S
@@ -21,14 +21,14 @@
     )
 
 
-def _beat(name: str, region: str = "r1", **changes) -> Beat:
+def _beat(name: str, region: str = "r1", **changes) -> Heartbeat:
     values = {
         "machine": _machine(name, region),
         "life": "l1",
         "leaving": False,
         "reads_store": True,
     }
-    return Beat(**{**values, **changes})
+    return Heartbeat(**{**values, **changes})
 
 
 class PeerTableTest(unittest.TestCase):
--- a/tests/runtime/test_follower.py
+++ b/tests/runtime/test_follower.py
@@ -10,7 +10,7 @@
 from chiverun.core.catalog import Machine
 from chiverun.core.catalog import Server
 from chiverun.core.catalog import ServerState
-from chiverun.core.edgemessages import Beat
+from chiverun.core.edgemessages import Heartbeat
 from chiverun.core.edgemessages import Pull
 from chiverun.core.edgemessages import Snapshot
 from chiverun.core.edgemessages import Update
@@ -183,7 +183,7 @@
 
     async def test_missed_update_is_pulled(self) -> None:
         await self._begin()
-        beat = Beat(
+        beat = Heartbeat(
             machine=_machine("m1"), life="l9", leaving=False, reads_store=True
         )
         self._receive(beat)
