--- a/chiverun/integrations/cancellation.py
+++ b/chiverun/integrations/cancellation.py
@@ -30,7 +30,7 @@
             self._sock = None
             return self.is_fired
 
-    def fire(self) -> None:
+    def cancel(self) -> None:
         """Cancel the exchange, or keep it from being sent."""
         with self._lock:
             self.is_fired = True
--- a/chiverun/runtime/hedging.py
+++ b/chiverun/runtime/hedging.py
@@ -109,7 +109,7 @@
             result = self._answer() or max(self._ends, key=_may_have_run)
         if not is_over:
             for cancellation in self._cancellations:
-                cancellation.fire()
+                cancellation.cancel()
         return result
 
     def _answer(self) -> ExchangeEnd | None:
