--- a/chiverun/runtime/execution.py
+++ b/chiverun/runtime/execution.py
@@ -30,7 +30,7 @@
     from chiverun.core.work import Work
     from chiverun.integrations.backend import HttpBackends
     from chiverun.integrations.telemetry import Telemetry
-    from chiverun.runtime.hedging import Race
+    from chiverun.runtime.hedging import HedgedRequest
 
 # Headers of the callers' interface that backend servers do not get.
 _OWN_HEADERS = frozenset(
@@ -161,7 +161,7 @@
 
     def _hedge(
         self,
-        race: "Race",
+        race: "HedgedRequest",
         first: "Grant",
         content: Content,
         excluded: frozenset[ServerName],
--- a/chiverun/runtime/hedging.py
+++ b/chiverun/runtime/hedging.py
@@ -25,9 +25,9 @@
             max_workers=threads, thread_name_prefix="attempt"
         )
 
-    def start(self, send: Send) -> "Race | None":
+    def start(self, send: Send) -> "HedgedRequest | None":
         """Start a race with its first attempt; None if all threads work."""
-        race = Race(self)
+        race = HedgedRequest(self)
         return race if race.add(send) else None
 
     def submit(self, call: Callable[[], None]) -> bool:
@@ -52,7 +52,7 @@
             self._free.release()
 
 
-class Race:
+class HedgedRequest:
     """Attempts of one request; thread-safe."""
 
     def __init__(self, threads: HedgePool) -> None:
