--- a/chiverun/cli.py
+++ b/chiverun/cli.py
@@ -27,7 +27,7 @@
 from chiverun.core.ticket import read_ticket
 from chiverun.core.ticket import Ticket
 from chiverun.core.ticketcheck import check_ticket
-from chiverun.core.ticketconflict import InForce
+from chiverun.core.ticketconflict import ReportedState
 from chiverun.core.ticketentry import Entry
 from chiverun.core.ticketlog import TicketLog
 from chiverun.integrations.interfaces import StoreUnavailable
@@ -296,9 +296,9 @@
         )
 
 
-def _in_force(cfg: OperatorSettings) -> list[InForce]:
+def _in_force(cfg: OperatorSettings) -> list[ReportedState]:
     return [
-        InForce(instance=s.instance, number=s.number, digest=s.digest)
+        ReportedState(instance=s.instance, number=s.number, digest=s.digest)
         for s in _statuses(cfg).values()
         if s is not None
     ]
--- a/chiverun/core/ticketconflict.py
+++ b/chiverun/core/ticketconflict.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class InForce:
+class ReportedState:
     """What an instance reported to have in force."""
 
     instance: str
@@ -18,7 +18,7 @@
     digest: str
 
 
-def check_not_behind(number: int, in_force: list[InForce]) -> None:
+def check_not_behind(number: int, in_force: list[ReportedState]) -> None:
     """Refuse when an instance is ahead of the store."""
     for report in in_force:
         if report.number > number:
@@ -30,7 +30,7 @@
             )
 
 
-def check_same_history(state: State, in_force: list[InForce]) -> None:
+def check_same_history(state: State, in_force: list[ReportedState]) -> None:
     """Refuse when an instance is on another history than the store."""
     for report in in_force:
         if state.follows(report.number, report.digest) is False:
--- a/chiverun/core/ticketlog.py
+++ b/chiverun/core/ticketlog.py
@@ -16,10 +16,10 @@
 from chiverun.core.ticketcheck import check_ticket
 from chiverun.core.ticketconflict import check_not_behind
 from chiverun.core.ticketconflict import check_same_history
-from chiverun.core.ticketconflict import InForce
 from chiverun.core.ticketconflict import lost_race
 from chiverun.core.ticketconflict import number_taken
 from chiverun.core.ticketconflict import outcome_unknown
+from chiverun.core.ticketconflict import ReportedState
 from chiverun.core.ticketentry import apply_entry
 from chiverun.core.ticketentry import encode_entry
 from chiverun.core.ticketentry import Entry
@@ -130,7 +130,7 @@
         return state
 
     def submit(
-        self, ticket: Ticket, submission: str, in_force: list[InForce]
+        self, ticket: Ticket, submission: str, in_force: list[ReportedState]
     ) -> Entry:
         """Have a ticket accepted, or learn why it is not.
 
@@ -222,7 +222,7 @@
             raise StoreUnavailable("the base was changed by another")
 
     def _submit(
-        self, ticket: Ticket, submission: str, in_force: list[InForce]
+        self, ticket: Ticket, submission: str, in_force: list[ReportedState]
     ) -> Entry:
         head = self.head()
         earlier = self._accepted(ticket, submission, head)
--- a/tests/core/test_ticketlog.py
+++ b/tests/core/test_ticketlog.py
@@ -21,7 +21,7 @@
 from chiverun.core.state import encode_state
 from chiverun.core.ticket import Region
 from chiverun.core.ticket import Ticket
-from chiverun.core.ticketconflict import InForce
+from chiverun.core.ticketconflict import ReportedState
 from chiverun.core.ticketentry import apply_entry
 from chiverun.core.ticketentry import decode_entry
 from chiverun.core.ticketentry import encode_entry
@@ -282,7 +282,7 @@
         entries = _logged(platform)
         platform.admin({"restore": True})
         log, _ = log_of(platform)
-        report = InForce(instance="i", number=last, digest=state.digest)
+        report = ReportedState(instance="i", number=last, digest=state.digest)
         with self.assertRaises(ChiverunError) as caught:
             log.submit(ticket(saved + 1, "b"), "b", [report])
         self.assertEqual(ResultCode.STORE_BEHIND, caught.exception.code)
@@ -339,7 +339,7 @@
             log.repair(state, entries)
         self.assertEqual(ResultCode.TICKET_FORK, caught.exception.code)
         self.assertEqual("b", log.head().entry.ticket.author)
-        old = InForce(instance="i", number=6, digest=entries[0].digest)
+        old = ReportedState(instance="i", number=6, digest=entries[0].digest)
         fill(platform, 7, first=7, author="b")
         with self.assertRaises(ChiverunError) as caught:
             log.submit(ticket(8, "b"), "x", [old])
