--- a/chiverun/integrations/cancellation.py
+++ b/chiverun/integrations/cancellation.py
@@ -14,13 +14,13 @@
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._sock: socket.socket | None = None
-        self.is_fired = False
+        self.is_cancelled = False
         self.is_ended = False
 
     def attach(self, sock: socket.socket) -> None:
         """Name the connection; raises OSError if cancelled already."""
         with self._lock:
-            if self.is_fired:
+            if self.is_cancelled:
                 raise OSError("cancelled before sending")
             self._sock = sock
 
@@ -28,12 +28,12 @@
         """Forget the connection; tell whether it was cancelled."""
         with self._lock:
             self._sock = None
-            return self.is_fired
+            return self.is_cancelled
 
     def cancel(self) -> None:
         """Cancel the exchange, or keep it from being sent."""
         with self._lock:
-            self.is_fired = True
+            self.is_cancelled = True
             if self._sock is None:
                 return
             try:
@@ -45,4 +45,4 @@
     def note_closed_by_server(self) -> None:
         """Note that the server closed the connection without a response."""
         with self._lock:
-            self.is_ended = self.is_fired
+            self.is_ended = self.is_cancelled
--- a/chiverun/runtime/execution.py
+++ b/chiverun/runtime/execution.py
@@ -216,7 +216,7 @@
         self._admission.release(
             grant,
             end,
-            cancelled=cancellation.is_fired and _is_cut_off(end),
+            cancelled=cancellation.is_cancelled and _is_cut_off(end),
             ended=cancellation.is_ended,
         )
 
