--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -45,7 +45,7 @@
 from chiverun.runtime.forward import pace_reply
 from chiverun.runtime.forward import SOURCE_HEADER
 from chiverun.runtime.request import EntryRequest
-from chiverun.runtime.request import RequestReader
+from chiverun.runtime.request import RequestParser
 from chiverun.runtime.results import fingerprint
 from chiverun.runtime.results import make_result
 from chiverun.runtime.results import to_response
@@ -116,7 +116,7 @@
         self._telemetry = telemetry
         self._lock = threading.Lock()
         self._shifts = ShiftOffers(instance=identity.instance, clock=clock)
-        self._reader = RequestReader(
+        self._reader = RequestParser(
             zone=identity.zone, clock=clock, plane=plane, blocks=blocks
         )
         self._issuers = IssuerDirectory()
--- a/chiverun/runtime/request.py
+++ b/chiverun/runtime/request.py
@@ -35,7 +35,7 @@
     content: Content
 
 
-class RequestReader:
+class RequestParser:
     """Finds service, class, deadline and regions of a request."""
 
     def __init__(
