--- a/chiverun/core/seats.py
+++ b/chiverun/core/seats.py
@@ -112,7 +112,7 @@
     return math.ceil(seats / max(1, live))
 
 
-def note_mark(table: SeatTable, seat: SeatIndex, mark: SeatHolder) -> bool:
+def record_holder(table: SeatTable, seat: SeatIndex, mark: SeatHolder) -> bool:
     """Take over a mark; return whether it is later than the known one."""
     known = table.marks.get(seat)
     if not 0 <= seat < SEATS_MAX or (known is not None and mark <= known):
--- a/chiverun/runtime/gossip.py
+++ b/chiverun/runtime/gossip.py
@@ -130,7 +130,7 @@
     if advert.zone == ctx.identity.zone:
         for claim in advert.seats:
             mark = SeatHolder(claim.epoch, advert.life)
-            seat_rules.note_mark(ctx.seats, claim.seat, mark)
+            seat_rules.record_holder(ctx.seats, claim.seat, mark)
 
 
 def _all_marks(ctx: "ControlContext") -> tuple[SeatHolderRecord, ...]:
@@ -160,7 +160,9 @@
     if message.zone != ctx.identity.zone:
         return
     for m in message.marks:
-        seat_rules.note_mark(ctx.seats, m.seat, SeatHolder(m.epoch, m.life))
+        seat_rules.record_holder(
+            ctx.seats, m.seat, SeatHolder(m.epoch, m.life)
+        )
     later = seat_rules.later_marks(ctx.seats, message.marks)
     send_marks(ctx, message.sender, later)
 
--- a/chiverun/runtime/seatsystem.py
+++ b/chiverun/runtime/seatsystem.py
@@ -337,7 +337,7 @@
     lives = {m.life for m in rows.values()}
     for seat, owner in record.owners.items():
         mark = SeatHolder(owner.epoch, owner.life)
-        seat_rules.note_mark(ctx.seats, seat, mark)
+        seat_rules.record_holder(ctx.seats, seat, mark)
         if (
             owner.life in lives
             or owner.life in ctx.members.ended
--- a/chiverun/runtime/seattransfer.py
+++ b/chiverun/runtime/seattransfer.py
@@ -152,7 +152,7 @@
         receiver=row.instance,
         life=row.life,
     )
-    seat_rules.note_mark(ctx.seats, seat, SeatHolder(epoch, row.life))
+    seat_rules.record_holder(ctx.seats, seat, SeatHolder(epoch, row.life))
     return member_owner(row, epoch)
 
 
@@ -253,7 +253,7 @@
 def gain(ctx: "ControlContext", seat: SeatIndex, epoch: int) -> None:
     """Note a seat that this instance holds from now on."""
     mark = SeatHolder(epoch, ctx.identity.life)
-    seat_rules.note_mark(ctx.seats, seat, mark)
+    seat_rules.record_holder(ctx.seats, seat, mark)
     ctx.seats.news[seat] = _NEWS_SENDS
 
 
--- a/tests/core/test_seats.py
+++ b/tests/core/test_seats.py
@@ -14,9 +14,9 @@
 from chiverun.core.seats import holders_digest
 from chiverun.core.seats import later_marks
 from chiverun.core.seats import lost_seats
-from chiverun.core.seats import note_mark
 from chiverun.core.seats import note_old_classes
 from chiverun.core.seats import OLD_CLASSES_MAX
+from chiverun.core.seats import record_holder
 from chiverun.core.seats import SeatRecord
 from chiverun.core.seats import SEATS_MAX
 from chiverun.core.seats import select_claims
@@ -123,9 +123,9 @@
         one, two = SeatTable(), SeatTable()
         marks = [(4, "x"), (5, "x"), (5, "y")]
         for epoch, life in marks:
-            note_mark(one, 0, SeatHolder(epoch, life))
+            record_holder(one, 0, SeatHolder(epoch, life))
         for epoch, life in reversed(marks):
-            note_mark(two, 0, SeatHolder(epoch, life))
+            record_holder(two, 0, SeatHolder(epoch, life))
         self.assertEqual(holders_digest(one), holders_digest(two))
         one.held[0] = Held(epoch=5, short_from=0.0, long_from=0.0)
         self.assertEqual({0}, lost_seats(one, "x"))
@@ -138,7 +138,7 @@
     @params(-1, SEATS_MAX)
     def test_marks_are_bounded(self, seat) -> None:
         table = SeatTable()
-        self.assertFalse(note_mark(table, seat, SeatHolder(1, "x")))
+        self.assertFalse(record_holder(table, seat, SeatHolder(1, "x")))
         self.assertEqual({}, table.marks)
 
 
