--- a/chiverun/core/ticketlog.py
+++ b/chiverun/core/ticketlog.py
@@ -194,7 +194,7 @@
             self._cover_by_base(state)
         return self._store.put(HEAD_KEY, encode_entry(newest), cas=head.index)
 
-    def mend(self, state: State) -> bool:
+    def replace_unloadable_base(self, state: State) -> bool:
         """Replace the base if the log behind the head cannot be loaded.
 
         Returns whether a new base was written. `state` must be that of the
--- a/chiverun/runtime/storeworker.py
+++ b/chiverun/runtime/storeworker.py
@@ -337,5 +337,5 @@
         if now < self._mend_at or not self._plane.is_watcher():
             return
         self._mend_at = now + MEND_PERIOD_S * self._rng.uniform(0.8, 1.2)
-        if self._log.mend(state):
+        if self._log.replace_unloadable_base(state):
             _LOG.warning("base in the store replaced")
--- a/tests/core/test_ticketlog.py
+++ b/tests/core/test_ticketlog.py
@@ -385,7 +385,7 @@
             code, _ = outcome(log, ticket(71), "x")
             self.assertIsInstance(code, ResultCode)
             if key != HEAD_KEY:
-                log.mend(state)
+                log.replace_unloadable_base(state)
                 if code is not ResultCode.OK:
                     self.assertEqual(state.digest, log.load().digest, key)
 
