--- a/chiverun/integrations/cancellation.py
+++ b/chiverun/integrations/cancellation.py
@@ -15,7 +15,7 @@
         self._lock = threading.Lock()
         self._sock: socket.socket | None = None
         self.is_cancelled = False
-        self.is_ended = False
+        self.is_closed_by_server = False
 
     def attach(self, sock: socket.socket) -> None:
         """Name the connection; raises OSError if cancelled already."""
@@ -45,4 +45,4 @@
     def note_closed_by_server(self) -> None:
         """Note that the server closed the connection without a response."""
         with self._lock:
-            self.is_ended = self.is_cancelled
+            self.is_closed_by_server = self.is_cancelled
--- a/chiverun/runtime/execution.py
+++ b/chiverun/runtime/execution.py
@@ -217,7 +217,7 @@
             grant,
             end,
             cancelled=cancellation.is_cancelled and _is_cut_off(end),
-            ended=cancellation.is_ended,
+            ended=cancellation.is_closed_by_server,
         )
 
     def _outgoing(
