--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -44,7 +44,7 @@
 from chiverun.runtime.forward import ORIGIN_HEADER
 from chiverun.runtime.forward import pace_reply
 from chiverun.runtime.forward import SOURCE_HEADER
-from chiverun.runtime.request import EntryRequest
+from chiverun.runtime.request import ParsedRequest
 from chiverun.runtime.request import RequestParser
 from chiverun.runtime.results import fingerprint
 from chiverun.runtime.results import make_result
@@ -153,7 +153,7 @@
     # Keys.
 
     def _handle_keyed(
-        self, req: IncomingRequest, request: EntryRequest
+        self, req: IncomingRequest, request: ParsedRequest
     ) -> Response:
         key = IdempotencyKey(req.header("idempotency-key"))
         if not key:
@@ -181,7 +181,7 @@
         )
 
     def _run_or_replay(
-        self, req: IncomingRequest, request: EntryRequest, key: IdempotencyKey
+        self, req: IncomingRequest, request: ParsedRequest, key: IdempotencyKey
     ) -> Response:
         begin = self._keys.begin(
             key, fingerprint(req), wait_until=request.work.deadline
@@ -195,7 +195,7 @@
                 return error_response(409, outcome, code, f"key {key}")
 
     def _run_keyed(
-        self, key: IdempotencyKey, request: EntryRequest
+        self, key: IdempotencyKey, request: ParsedRequest
     ) -> Response:
         result = StoredResult(
             outcome=Outcome.UNKNOWN,
@@ -213,7 +213,7 @@
     def _ask_issuer(
         self,
         req: IncomingRequest,
-        request: EntryRequest,
+        request: ParsedRequest,
         key: IdempotencyKey,
         instance: InstanceId,
     ) -> Response:
@@ -275,7 +275,7 @@
 
     # Attempts.
 
-    def _run(self, request: EntryRequest) -> StoredResult:
+    def _run(self, request: ParsedRequest) -> StoredResult:
         """Run a request; long ones may hold only a part of the threads."""
         if not request.work.is_long:
             return self._run_placed(request)
@@ -286,7 +286,7 @@
         finally:
             self._long_threads.leave()
 
-    def _run_placed(self, request: EntryRequest) -> StoredResult:
+    def _run_placed(self, request: ParsedRequest) -> StoredResult:
         """Place a request until it is answered or may not be tried again."""
         self._budget.deposit()
         progress = _Progress(attempts_left=request.work.request_class.attempts)
@@ -302,7 +302,7 @@
                 break
         return make_result(end, may_have_run=progress.may_have_run)
 
-    def _seats_until(self, request: EntryRequest) -> float:
+    def _seats_until(self, request: ParsedRequest) -> float:
         """Return until when a request waits at an instance without seats.
 
         An unrepeatable one waits to its deadline: its key is of no use
@@ -315,7 +315,7 @@
         )
 
     def _may_wait_for_seats(
-        self, end: ExchangeEnd, request: EntryRequest, until: float
+        self, end: ExchangeEnd, request: ParsedRequest, until: float
     ) -> bool:
         """Tell whether a request that nothing ran is placed again.
 
@@ -335,7 +335,7 @@
         )
 
     def _may_try_again(
-        self, attempt: Attempt, progress: _Progress, request: EntryRequest
+        self, attempt: Attempt, progress: _Progress, request: ParsedRequest
     ) -> bool:
         progress.placements_left -= 1
         if attempt.server is not None:
@@ -359,10 +359,10 @@
                     and self._budget.withdraw()
                 )
 
-    def _has_time(self, request: EntryRequest) -> bool:
+    def _has_time(self, request: ParsedRequest) -> bool:
         return self._clock.monotonic() < request.work.deadline
 
-    def _place(self, request: EntryRequest, progress: _Progress) -> Attempt:
+    def _place(self, request: ParsedRequest, progress: _Progress) -> Attempt:
         """Try the places in order until one takes the request."""
         attempt = Attempt(end=PeerRefused(code=ResultCode.NO_CAPACITY))
         for attempt in self._placements(request, progress):
@@ -371,7 +371,7 @@
         return attempt
 
     def _placements(
-        self, request: EntryRequest, progress: _Progress
+        self, request: ParsedRequest, progress: _Progress
     ) -> Iterator[Attempt]:
         snapshot = self._plane.snapshot
         work = request.work
@@ -417,7 +417,7 @@
             return False
         return self._executor.expected_wait_s(work) < REGION_DETOUR_S
 
-    def _forward(self, target: Target, request: EntryRequest) -> Attempt:
+    def _forward(self, target: Target, request: ParsedRequest) -> Attempt:
         """Send a request to an instance of another zone."""
         refused = self._pace_request(target, request)
         if refused is not None:
@@ -450,7 +450,7 @@
         return Attempt(end=end)
 
     def _pace_request(
-        self, target: Target, request: EntryRequest
+        self, target: Target, request: ParsedRequest
     ) -> Attempt | None:
         """Wait for the link's rate; return a refusal if it has no room."""
         work = request.work
--- a/chiverun/runtime/request.py
+++ b/chiverun/runtime/request.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class EntryRequest:
+class ParsedRequest:
     """A caller's request with what the state says about it."""
 
     work: Work
@@ -51,7 +51,7 @@
         self._plane = plane
         self._blocks = blocks
 
-    def read(self, req: IncomingRequest) -> EntryRequest:
+    def read(self, req: IncomingRequest) -> ParsedRequest:
         """Read a request; raises a 1xx code or NOT_READY."""
         state = self._plane.snapshot.state
         if not req.path.startswith(_PREFIX):
@@ -71,7 +71,7 @@
         path = "/" + rest
         request_class = match_class(service, req.method, path)
         region = self._home_region(state)
-        return EntryRequest(
+        return ParsedRequest(
             work=Work(
                 service=service.name,
                 request_class=request_class,
--- a/tests/runtime/test_entry_load.py
+++ b/tests/runtime/test_entry_load.py
@@ -12,7 +12,7 @@
 from chiverun.core.exchange import Answered
 from chiverun.runtime.entry import Entry
 from chiverun.runtime.execution import Executor
-from chiverun.runtime.request import EntryRequest
+from chiverun.runtime.request import ParsedRequest
 from tests.core.zones import EXPORT
 from tests.core.zones import READ
 from tests.core.zones import server
@@ -46,7 +46,7 @@
 
         def run(request_class):
             work = zone.work(request_class)
-            return entry._run(EntryRequest(work=work, content=mock.Mock()))
+            return entry._run(ParsedRequest(work=work, content=mock.Mock()))
 
         threads = [
             threading.Thread(target=run, args=(EXPORT,)) for _ in range(2)
