--- a/chiverun/runtime/events.py
+++ b/chiverun/runtime/events.py
@@ -37,7 +37,7 @@
     """Write owners, and give up seats (by epoch), in the record."""
 
     owners: dict[SeatIndex, Owner]
-    given_up: dict[SeatIndex, int]
+    released: dict[SeatIndex, int]
 
 
 StoreJob = ClaimSeats | ReadSeats | WriteSeats
--- a/chiverun/runtime/seattransfer.py
+++ b/chiverun/runtime/seattransfer.py
@@ -111,7 +111,7 @@
 
 def finish_releases(ctx: "ControlContext", now: float) -> None:
     """Hand over released seats whose work has ended."""
-    given_up = {}
+    released = {}
     owners = {}
     for seat, releasing in list(ctx.seats.releasing.items()):
         if not releasing.is_published:
@@ -123,14 +123,14 @@
         if receiver is not None:
             owners[seat] = _hand_to(ctx, receiver, seat, releasing)
         elif ctx.is_leaving:
-            given_up[seat] = releasing.epoch
+            released[seat] = releasing.epoch
         else:
             ctx.seats.held[seat] = Held(
                 epoch=releasing.epoch,
                 short_from=releasing.short_from,
                 long_from=releasing.long_from,
             )
-    queue_write(ctx, owners, given_up)
+    queue_write(ctx, owners, released)
 
 
 def _receiver(ctx: "ControlContext", releasing: Releasing) -> Member | None:
@@ -285,14 +285,14 @@
 def queue_write(
     ctx: "ControlContext",
     owners: "Mapping[SeatIndex, Owner]",
-    given_up: "Mapping[SeatIndex, int]",
+    released: "Mapping[SeatIndex, int]",
 ) -> None:
     """Keep changes until they are written; later epochs replace earlier."""
     for seat, owner in owners.items():
         kept = ctx.seats.unwritten.get(seat)
         if kept is None or owner.epoch > kept.epoch:
             ctx.seats.unwritten[seat] = owner
-    ctx.seats.ungiven.update(given_up)
+    ctx.seats.ungiven.update(released)
 
 
 def flush_writes(ctx: "ControlContext", now: float) -> None:
@@ -305,7 +305,7 @@
         return
     seats.write_pending_since = now
     ctx.submit(
-        WriteSeats(owners=dict(seats.unwritten), given_up=dict(seats.ungiven))
+        WriteSeats(owners=dict(seats.unwritten), released=dict(seats.ungiven))
     )
 
 
@@ -319,6 +319,6 @@
     for seat, owner in report.job.owners.items():
         if seats.unwritten.get(seat) == owner:
             del seats.unwritten[seat]
-    for seat, epoch in report.job.given_up.items():
+    for seat, epoch in report.job.released.items():
         if seats.ungiven.get(seat) == epoch:
             del seats.ungiven[seat]
--- a/chiverun/runtime/storeworker.py
+++ b/chiverun/runtime/storeworker.py
@@ -117,7 +117,7 @@
         for _ in range(_SWAP_ATTEMPTS):
             record, index = self.read()
             wanted = with_owners(record, job.owners)
-            for seat, epoch in job.given_up.items():
+            for seat, epoch in job.released.items():
                 wanted = without_owner(wanted, seat, epoch)
             if wanted == record or self._swap(wanted, index):
                 return
