--- a/chiverun/core/seats.py
+++ b/chiverun/core/seats.py
@@ -131,7 +131,7 @@
     return table.digest
 
 
-def later_marks(
+def newer_holders(
     table: SeatTable, marks: Iterable[SeatHolderRecord]
 ) -> tuple[SeatHolderRecord, ...]:
     """Return the known marks that are later than the given ones."""
--- a/chiverun/runtime/gossip.py
+++ b/chiverun/runtime/gossip.py
@@ -163,7 +163,7 @@
         seat_rules.record_holder(
             ctx.seats, m.seat, SeatHolder(m.epoch, m.life)
         )
-    later = seat_rules.later_marks(ctx.seats, message.marks)
+    later = seat_rules.newer_holders(ctx.seats, message.marks)
     send_marks(ctx, message.sender, later)
 
 
--- a/chiverun/runtime/seatsystem.py
+++ b/chiverun/runtime/seatsystem.py
@@ -306,7 +306,7 @@
                 )
                 for c in row.advert.seats
             )
-            later = seat_rules.later_marks(ctx.seats, claims)
+            later = seat_rules.newer_holders(ctx.seats, claims)
             gossip.send_marks(ctx, row.peer, later)
 
 
--- a/tests/core/test_seats.py
+++ b/tests/core/test_seats.py
@@ -12,8 +12,8 @@
 from chiverun.core.seats import ended_lives
 from chiverun.core.seats import held_after_claim
 from chiverun.core.seats import holders_digest
-from chiverun.core.seats import later_marks
 from chiverun.core.seats import lost_seats
+from chiverun.core.seats import newer_holders
 from chiverun.core.seats import note_old_classes
 from chiverun.core.seats import OLD_CLASSES_MAX
 from chiverun.core.seats import record_holder
@@ -132,8 +132,8 @@
         self.assertEqual(set(), lost_seats(one, "y"))
         stale = SeatHolderRecord(seat=0, epoch=5, life="x")
         fresh = SeatHolderRecord(seat=0, epoch=5, life="y")
-        self.assertEqual((fresh,), later_marks(one, (stale,)))
-        self.assertEqual((), later_marks(one, (fresh,)))
+        self.assertEqual((fresh,), newer_holders(one, (stale,)))
+        self.assertEqual((), newer_holders(one, (fresh,)))
 
     @params(-1, SEATS_MAX)
     def test_marks_are_bounded(self, seat) -> None:
