--- a/chiverun/core/ticketlog.py
+++ b/chiverun/core/ticketlog.py
@@ -158,7 +158,7 @@
         """
         return self._records.write_base(state, is_forced=is_forced)
 
-    def repair(self, state: State, recent: list[Entry]) -> bool:
+    def restore_head(self, state: State, recent: list[Entry]) -> bool:
         """Bring a store that lost accepted tickets forward again.
 
         Parameters
--- a/chiverun/runtime/storeworker.py
+++ b/chiverun/runtime/storeworker.py
@@ -325,7 +325,9 @@
             return
         if not self._plane.is_watcher():
             return
-        if self._log.repair(self._plane.state, self._plane.recent.entries()):
+        if self._log.restore_head(
+            self._plane.state, self._plane.recent.entries()
+        ):
             _LOG.warning(
                 "store repaired",
                 extra={"from": number, "to": self._plane.state.number},
--- a/tests/core/test_ticketlog.py
+++ b/tests/core/test_ticketlog.py
@@ -286,7 +286,9 @@
         with self.assertRaises(ChiverunError) as caught:
             log.submit(ticket(saved + 1, "b"), "b", [report])
         self.assertEqual(ResultCode.STORE_BEHIND, caught.exception.code)
-        self.assertTrue(log.repair(state, entries[-kept:] if kept else []))
+        self.assertTrue(
+            log.restore_head(state, entries[-kept:] if kept else [])
+        )
         self.assertEqual(state.digest, log.load().digest)
         log.submit(ticket(last + 1), "next", [report])
         self.assertLessEqual(len(platform.data), KEYS_MAX)
@@ -303,7 +305,7 @@
             log, store = log_of(platform, write_faults={position: fault})
             for _ in range(3):
                 try:
-                    log.repair(state, entries[-5:])
+                    log.restore_head(state, entries[-5:])
                 except (StoreUnavailable, StoreAnswerLost):
                     continue
                 finally:
@@ -323,7 +325,7 @@
         other = encode_entry(fill(Platform(), 7, author="b")[1][-1])
         platform.put("chiverun/ticket/7", other, None)
         log, _ = log_of(platform)
-        self.assertTrue(log.repair(state, entries))
+        self.assertTrue(log.restore_head(state, entries))
         self.assertEqual(state.digest, log.load().digest)
 
     def test_submission_in_between_is_a_fork(self):
@@ -336,7 +338,7 @@
         fill(platform, 6, first=6, author="b")
         log, _ = log_of(platform)
         with self.assertRaises(ChiverunError) as caught:
-            log.repair(state, entries)
+            log.restore_head(state, entries)
         self.assertEqual(ResultCode.TICKET_FORK, caught.exception.code)
         self.assertEqual("b", log.head().entry.ticket.author)
         old = ReportedState(instance="i", number=6, digest=entries[0].digest)
