--- a/chiverun/integrations/catalogstore.py
+++ b/chiverun/integrations/catalogstore.py
@@ -14,7 +14,7 @@
     """The store did not answer, or refused; nothing is known."""
 
 
-class HistoryGone(Exception):
+class HistoryCompacted(Exception):
     """The store no longer has the changes since a revision."""
 
 
--- a/chiverun/platform/store.py
+++ b/chiverun/platform/store.py
@@ -18,7 +18,7 @@
 from chiverun.integrations.asyncclient import OutgoingRequest
 from chiverun.integrations.catalogstore import CatalogUnavailable
 from chiverun.integrations.catalogstore import Changes
-from chiverun.integrations.catalogstore import HistoryGone
+from chiverun.integrations.catalogstore import HistoryCompacted
 from chiverun.platform import records
 from chiverun.platform import values
 
@@ -117,7 +117,7 @@
     async def _get(self, path: str, *, wait_s: float = 0.0) -> dict[str, Any]:
         answer = await self._call("GET", path, "", wait_s=wait_s)
         if answer.status == 410:
-            raise HistoryGone
+            raise HistoryCompacted
         if answer.status != 200:
             raise CatalogUnavailable(f"{path}: status {answer.status}")
         try:
--- a/chiverun/runtime/follower.py
+++ b/chiverun/runtime/follower.py
@@ -32,7 +32,7 @@
 from chiverun.integrations.catalogstore import CatalogStore
 from chiverun.integrations.catalogstore import CatalogUnavailable
 from chiverun.integrations.catalogstore import Changes
-from chiverun.integrations.catalogstore import HistoryGone
+from chiverun.integrations.catalogstore import HistoryCompacted
 from chiverun.integrations.peers import ZmqPeers
 
 _LOG = logbook.Logger("catalog")
@@ -111,7 +111,7 @@
                 continue
             try:
                 await self._read()
-            except (CatalogUnavailable, HistoryGone) as exc:
+            except (CatalogUnavailable, HistoryCompacted) as exc:
                 self._note_failure(exc)
                 self._pull()
                 await asyncio.sleep(RETRY_PAUSE_S)
@@ -165,7 +165,7 @@
                 changes = await self._store.changes_since(
                     self.replica.as_of, WATCH_WAIT_S
                 )
-            except HistoryGone:
+            except HistoryCompacted:
                 _LOG.warning(
                     "store forgot its history",
                     extra={"as_of": self.replica.as_of},
@@ -204,7 +204,7 @@
         self._is_loss_logged = False
 
     def _note_failure(self, exc: Exception) -> None:
-        if isinstance(exc, HistoryGone):
+        if isinstance(exc, HistoryCompacted):
             return
         self._reads_store = False
         if not self._is_loss_logged:
--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -6,7 +6,7 @@
 
 from chiverun.core.catalog import Machine
 from chiverun.integrations.catalogstore import CatalogUnavailable
-from chiverun.integrations.catalogstore import HistoryGone
+from chiverun.integrations.catalogstore import HistoryCompacted
 from chiverun.platform import store as store_module
 from chiverun.platform.store import PlatformStore
 from standins.metastore import Faults
@@ -65,7 +65,7 @@
         as_of = (await self.store.read_all()).as_of
         await self.standin.put("servers/i-1", server_entry())
         self.standin.forget_history()
-        with self.assertRaises(HistoryGone):
+        with self.assertRaises(HistoryCompacted):
             await self.store.changes_since(as_of, 0.1)
 
     async def test_trouble_is_unavailability_not_emptiness(self) -> None:
--- a/tests/runtime/test_follower.py
+++ b/tests/runtime/test_follower.py
@@ -17,7 +17,7 @@
 from chiverun.core.replica import Versioned
 from chiverun.integrations.catalogstore import CatalogUnavailable
 from chiverun.integrations.catalogstore import Changes
-from chiverun.integrations.catalogstore import HistoryGone
+from chiverun.integrations.catalogstore import HistoryCompacted
 from chiverun.runtime.follower import CatalogFollower
 
 _STATE = DesiredState(version=1, routes=(), services=(), limits=ClientLimits())
@@ -107,7 +107,7 @@
         self.store.script = [answer]
         try:
             await self.follower._read()
-        except (CatalogUnavailable, HistoryGone) as exc:
+        except (CatalogUnavailable, HistoryCompacted) as exc:
             self.follower._note_failure(exc)
 
     async def _begin(self) -> None:
@@ -166,7 +166,7 @@
 
     async def test_forgotten_history_leads_to_a_listing(self) -> None:
         await self._begin()
-        await self._step(HistoryGone())
+        await self._step(HistoryCompacted())
         listing = [
             ("op/config", 2, _STATE),
             ("chiverun/machines/m5", 4, _machine("m5")),
