--- a/chiverun/runtime/edge.py
+++ b/chiverun/runtime/edge.py
@@ -91,7 +91,7 @@
             zone=cfg.zone,
             bounds=cfg.bounds,
             machines=self._machines,
-            near_zones=self._near_zones,
+            region_zones=self._near_zones,
         )
         self._sender = Sender(header_codec=header_codec)
         self._steering = Steering(
--- a/chiverun/runtime/selection.py
+++ b/chiverun/runtime/selection.py
@@ -79,12 +79,12 @@
         zone: ZoneName,
         bounds: EdgeBounds,
         machines: Callable[[], set[InstanceId]],
-        near_zones: Callable[[], list[ZoneName]],
+        region_zones: Callable[[], list[ZoneName]],
     ) -> None:
         self._table = table
         self._region = region
         self._zone = zone
-        self._near_zones = near_zones
+        self._near_zones = region_zones
         self._bounds = bounds
         self._machines = machines
         self._generation = -1
--- a/tests/runtime/test_selection.py
+++ b/tests/runtime/test_selection.py
@@ -59,7 +59,7 @@
         zone=zone,
         bounds=bounds or EdgeBounds(),
         machines=lambda: {"m"},
-        near_zones=lambda: list(near),
+        region_zones=lambda: list(near),
     )
 
 
