--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -86,7 +86,7 @@
     may_have_run: bool = False
 
 
-class Entry:
+class EntryHandler:
     """Handler of the entry address."""
 
     def __init__(
--- a/chiverun/runtime/instance.py
+++ b/chiverun/runtime/instance.py
@@ -38,7 +38,7 @@
 from chiverun.runtime.control import Identity
 from chiverun.runtime.control import Leave
 from chiverun.runtime.control import TICK_S
-from chiverun.runtime.entry import Entry
+from chiverun.runtime.entry import EntryHandler
 from chiverun.runtime.events import StoreJob
 from chiverun.runtime.execution import Executor
 from chiverun.runtime.forward import Forward
@@ -182,7 +182,7 @@
             telemetry=self._telemetry,
             hedge_threads=2 * cfg.entry_threads,
         )
-        self._entry = Entry(
+        self._entry = EntryHandler(
             identity=self._identity,
             clock=self._clock,
             plane=self._plane,
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -120,8 +120,8 @@
 
 def main() -> None:
     """Run an instance that runs every request it gets, whatever its key."""
-    entry.Entry._handle_keyed = lambda self, _req, request: entry._reply(
-        self._run(request)
+    entry.EntryHandler._handle_keyed = lambda self, _req, request: (
+        entry._reply(self._run(request))
     )
     web._is_abandoned = lambda _sock: False
     cli.main()
--- a/tests/runtime/test_entry.py
+++ b/tests/runtime/test_entry.py
@@ -31,7 +31,7 @@
 from chiverun.core.ticket import Service
 from chiverun.core.ticket import Zone
 from chiverun.integrations.web import IncomingRequest
-from chiverun.runtime.entry import Entry
+from chiverun.runtime.entry import EntryHandler
 from chiverun.runtime.entry import ISSUER_HEADER
 from chiverun.runtime.execution import Attempt
 from chiverun.runtime.execution import Executor
@@ -134,7 +134,7 @@
     def _entry(self, executor, *, name="a-1", peers=(), life="life-1"):
         self.plane = types.SimpleNamespace(snapshot=self._snapshot(*peers))
         self.keys = KeyTable(instance=name, life=life, clock=self.clock)
-        return Entry(
+        return EntryHandler(
             identity=types.SimpleNamespace(instance=name, zone="a"),
             clock=self.clock,
             plane=self.plane,
--- a/tests/runtime/test_entry_load.py
+++ b/tests/runtime/test_entry_load.py
@@ -10,7 +10,7 @@
 from chiverun.core.errors import Outcome
 from chiverun.core.errors import ResultCode
 from chiverun.core.exchange import Answered
-from chiverun.runtime.entry import Entry
+from chiverun.runtime.entry import EntryHandler
 from chiverun.runtime.execution import Executor
 from chiverun.runtime.request import ParsedRequest
 from tests.core.zones import EXPORT
@@ -22,10 +22,10 @@
 OK = Answered(status=200, headers=(), body=b"")
 
 
-def _entry(**fields) -> Entry:
+def _entry(**fields) -> EntryHandler:
     names = "identity clock plane executor backends links blocks keys budget"
     mocks = {n: mock.Mock() for n in (*names.split(), "telemetry")}
-    return Entry(**{**mocks, **fields}, threads=4)
+    return EntryHandler(**{**mocks, **fields}, threads=4)
 
 
 class LongThreadsTest(unittest.TestCase):
