--- a/chiverun/core/membership.py
+++ b/chiverun/core/membership.py
@@ -234,7 +234,7 @@
     return due
 
 
-def note_answer(
+def record_ack(
     table: MemberTable, sender: Advert, sequence: int, now: float
 ) -> None:
     """Draw conclusions from an answer to this instance's ping `sequence`.
--- a/chiverun/runtime/membersystem.py
+++ b/chiverun/runtime/membersystem.py
@@ -83,7 +83,7 @@
     """Note an acknowledgement, and pass it on if it was relayed."""
     now = ctx.clock.monotonic()
     if 0 < sequence <= ctx.members.sequence:
-        membership.note_answer(ctx.members, content.sender, sequence, now)
+        membership.record_ack(ctx.members, content.sender, sequence, now)
     gossip.merge(ctx, content)
     row = ctx.members.rows.get(content.sender.instance)
     if row is not None and row.life == content.sender.life:
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -88,13 +88,13 @@
         table.sequence = 4
         membership.merge_advert(table, _advert("b"), _ZONE, 0.0)
         sender = _advert("c", life=life, peer="b:7000")
-        membership.note_answer(table, sender, sequence, 1.0)
+        membership.record_ack(table, sender, sequence, 1.0)
         self.assertEqual(is_ended, "b-1" in table.ended, name)
 
     def test_dead_member_that_answers_is_a_suspect(self) -> None:
         table = _table("b")
         table.rows["b"].state = MemberState.DEAD
-        membership.note_answer(table, _advert("b"), 1, 7.0)
+        membership.record_ack(table, _advert("b"), 1, 7.0)
         row = table.rows["b"]
         self.assertEqual(
             (MemberState.SUSPECT, 7.0), (row.state, row.state_since)
