--- a/chiverun/core/idempotency.py
+++ b/chiverun/core/idempotency.py
@@ -59,14 +59,14 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Refuse:
+class Reject:
     """The key cannot be used; `outcome` says what is known of its request."""
 
     outcome: Outcome
     code: ResultCode
 
 
-Begin = Run | Replay | Refuse
+Begin = Run | Replay | Reject
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -146,20 +146,20 @@
                 return _unlisted(key, self._life)
             if row.fingerprint not in ("", fingerprint):
                 # This request itself did not run; the key's own one may have.
-                return Refuse(
+                return Reject(
                     outcome=Outcome.NOT_RUN, code=ResultCode.KEY_REUSED
                 )
             row.fingerprint = fingerprint
             while row.state is _KeyState.RUNNING:
                 left = wait_until - self._clock.monotonic()
                 if left <= 0 or not self._changed.wait(left):
-                    return Refuse(
+                    return Reject(
                         outcome=Outcome.UNKNOWN,
                         code=ResultCode.KEY_IN_PROGRESS,
                     )
             if row.state is _KeyState.FINISHED:
                 if row.result is None:
-                    return Refuse(
+                    return Reject(
                         outcome=Outcome.UNKNOWN,
                         code=ResultCode.KEY_ANSWER_GONE,
                     )
@@ -226,11 +226,11 @@
     return len(result.body) + headers
 
 
-def _unlisted(key: IdempotencyKey, life: BootId) -> Refuse:
+def _unlisted(key: IdempotencyKey, life: BootId) -> Reject:
     """An unlisted key may have run before it expired or its process ended."""
     parts = parse_key(key)
     if parts is None:
-        return Refuse(outcome=Outcome.NOT_RUN, code=ResultCode.KEY_UNKNOWN)
+        return Reject(outcome=Outcome.NOT_RUN, code=ResultCode.KEY_UNKNOWN)
     if parts.life != life:
-        return Refuse(outcome=Outcome.UNKNOWN, code=ResultCode.KEY_OTHER_LIFE)
-    return Refuse(outcome=Outcome.UNKNOWN, code=ResultCode.KEY_UNKNOWN)
+        return Reject(outcome=Outcome.UNKNOWN, code=ResultCode.KEY_OTHER_LIFE)
+    return Reject(outcome=Outcome.UNKNOWN, code=ResultCode.KEY_UNKNOWN)
--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -14,7 +14,7 @@
 from chiverun.core.exchange import ExchangeEnd
 from chiverun.core.exchange import PeerRefused
 from chiverun.core.idempotency import parse_key
-from chiverun.core.idempotency import Refuse
+from chiverun.core.idempotency import Reject
 from chiverun.core.idempotency import Replay
 from chiverun.core.idempotency import Run
 from chiverun.core.idempotency import StoredResult
@@ -191,7 +191,7 @@
                 return self._run_keyed(key, request)
             case Replay(result=result):
                 return to_response(result)
-            case Refuse(outcome=outcome, code=code):
+            case Reject(outcome=outcome, code=code):
                 return error_response(409, outcome, code, f"key {key}")
 
     def _run_keyed(
--- a/tests/core/test_idempotency.py
+++ b/tests/core/test_idempotency.py
@@ -12,7 +12,7 @@
 from chiverun.core.idempotency import KEY_LIFETIME_S
 from chiverun.core.idempotency import KEYS_MAX
 from chiverun.core.idempotency import KeyTable
-from chiverun.core.idempotency import Refuse
+from chiverun.core.idempotency import Reject
 from chiverun.core.idempotency import Replay
 from chiverun.core.idempotency import Run
 from chiverun.core.idempotency import STORED_BYTES_MAX
@@ -83,7 +83,7 @@
             case "made up":
                 key = "a-1~life-1~00"
         self.assertEqual(
-            Refuse(outcome=outcome, code=code), self._begin(key, fingerprint)
+            Reject(outcome=outcome, code=code), self._begin(key, fingerprint)
         )
 
     def test_running_key_does_not_expire(self):
@@ -92,7 +92,7 @@
         self._begin(key)
         self.clock.advance(KEY_LIFETIME_S + 1)
         self.table.issue(1)
-        self.assertIsInstance(self._begin(key), Refuse)
+        self.assertIsInstance(self._begin(key), Reject)
 
     def test_threads_with_one_key_run_it_once(self):
         """Guards against two runs that overlap."""
@@ -130,7 +130,7 @@
         self.assertLessEqual(len(stored) * 65536, STORED_BYTES_MAX)
         self.assertEqual(keys[-len(stored) :], stored)
         self.assertEqual(
-            Refuse(outcome=Outcome.UNKNOWN, code=ResultCode.KEY_ANSWER_GONE),
+            Reject(outcome=Outcome.UNKNOWN, code=ResultCode.KEY_ANSWER_GONE),
             self._begin(keys[0]),
         )
         self.clock.advance(KEY_LIFETIME_S + 1)
