--- a/chiverun/runtime/edge.py
+++ b/chiverun/runtime/edge.py
@@ -91,7 +91,7 @@
             zone=cfg.zone,
             bounds=cfg.bounds,
             machines=self._machines,
-            region_zones=self._near_zones,
+            region_zones=self._region_zones,
         )
         self._sender = Sender(header_codec=header_codec)
         self._steering = Steering(
@@ -240,7 +240,7 @@
     def _machines(self) -> set:
         return self.follower.table.known
 
-    def _near_zones(self) -> list[ZoneName]:
+    def _region_zones(self) -> list[ZoneName]:
         """Return the zone of each other live machine of the region."""
         return [m.zone for m in self.follower.table.live(self._loop.time())]
 
--- a/chiverun/runtime/selection.py
+++ b/chiverun/runtime/selection.py
@@ -84,7 +84,7 @@
         self._table = table
         self._region = region
         self._zone = zone
-        self._near_zones = region_zones
+        self._region_zones = region_zones
         self._bounds = bounds
         self._machines = machines
         self._generation = -1
@@ -187,7 +187,7 @@
                     zone = row.server.zone
                     capacity[zone] = capacity.get(zone, 0) + row.server.slots
             # Clients choose evenly among the machines of their region.
-            demand = collections.Counter([*self._near_zones(), self._zone])
+            demand = collections.Counter([*self._region_zones(), self._zone])
             shares = fair_shares(capacity, demand, self._zone)
             self._zone_shares[place.service] = shares
         return place_of("zone", place.key, shares, self._zone)
