--- a/chiverun/runtime/forward.py
+++ b/chiverun/runtime/forward.py
@@ -45,7 +45,7 @@
 _PREFIX = "/f/"
 
 
-class Forward:
+class ForwardHandler:
     """Handler of the forward address."""
 
     def __init__(
--- a/chiverun/runtime/instance.py
+++ b/chiverun/runtime/instance.py
@@ -41,7 +41,7 @@
 from chiverun.runtime.entry import EntryHandler
 from chiverun.runtime.events import StoreJob
 from chiverun.runtime.execution import Executor
-from chiverun.runtime.forward import Forward
+from chiverun.runtime.forward import ForwardHandler
 from chiverun.runtime.healthcheck import HealthCheck
 from chiverun.runtime.public import Public
 from chiverun.runtime.status import Sources
@@ -195,7 +195,7 @@
             telemetry=self._telemetry,
             threads=cfg.entry_threads,
         )
-        self._forward = Forward(
+        self._forward = ForwardHandler(
             zone=cfg.zone,
             clock=self._clock,
             plane=self._plane,
--- a/tests/runtime/test_entry.py
+++ b/tests/runtime/test_entry.py
@@ -35,7 +35,7 @@
 from chiverun.runtime.entry import ISSUER_HEADER
 from chiverun.runtime.execution import Attempt
 from chiverun.runtime.execution import Executor
-from chiverun.runtime.forward import Forward
+from chiverun.runtime.forward import ForwardHandler
 
 _OK = Answered(status=200, headers=(), body=b"ok")
 _READ = RequestClass(
@@ -333,7 +333,7 @@
                 works.append(work.deadline)
                 return Attempt(end=_OK)
 
-        forward = Forward(
+        forward = ForwardHandler(
             zone="a",
             clock=ManualClock(),
             plane=types.SimpleNamespace(
--- a/tests/runtime/test_forward.py
+++ b/tests/runtime/test_forward.py
@@ -10,7 +10,7 @@
 from chiverun.core.links import Links
 from chiverun.integrations.web import IncomingRequest
 from chiverun.integrations.web import Response
-from chiverun.runtime.forward import Forward
+from chiverun.runtime.forward import ForwardHandler
 from chiverun.runtime.forward import pace_reply
 from tests.core import cap_states
 
@@ -77,7 +77,7 @@
 class RefuseTest(unittest.TestCase):
     def test_stopping_instance_refuses_peers_with_proof(self):
         """Peers that did not hear of the stop would keep it in flight."""
-        forward = Forward(
+        forward = ForwardHandler(
             zone="b1",
             clock=ManualClock(),
             plane=None,
