--- a/chiverun/core/membership.py
+++ b/chiverun/core/membership.py
@@ -142,7 +142,7 @@
     )
 
 
-def take_updates(
+def next_updates(
     table: MemberTable, about: InstanceId | None = None
 ) -> tuple[MemberUpdate, ...]:
     """Return the updates for a message, least often sent first.
--- a/chiverun/runtime/gossip.py
+++ b/chiverun/runtime/gossip.py
@@ -53,7 +53,7 @@
         number=ctx.state.number,
         digest=ctx.state.digest,
         holders_digest=seat_rules.holders_digest(ctx.seats),
-        updates=membership.take_updates(ctx.members, about),
+        updates=membership.next_updates(ctx.members, about),
         adverts=dissemination.select_adverts(ctx.members, now, ctx.rng),
         draining=dissemination.select_drain_signs(ctx.drains, now),
     )
