--- a/chiverun/platform/headercodec.py
+++ b/chiverun/platform/headercodec.py
@@ -34,7 +34,7 @@
         )
 
     def request_headers(
-        self, headers: Headers, server: Server, left_s: float
+        self, headers: Headers, server: Server, remaining_s: float
     ) -> Headers:
         """Return a request's headers as the server shall get them."""
         kept = [
@@ -44,7 +44,7 @@
         ]
         return [
             *kept,
-            (_DEADLINE_MS, str(max(1, int(left_s * 1000)))),
+            (_DEADLINE_MS, str(max(1, int(remaining_s * 1000)))),
             (_EXPECTED_SERVER, server.name),
         ]
 
--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -458,8 +458,8 @@
             return None
         content = request.content
         size = message_bytes(content.headers.items(), content.body)
-        left_s = work.deadline - self._clock.monotonic()
-        reservation = self._links.reserve(target.region, size, left_s)
+        remaining_s = work.deadline - self._clock.monotonic()
+        reservation = self._links.reserve(target.region, size, remaining_s)
         if reservation is None or not self._links.pace(
             reservation, size, work.deadline
         ):
--- a/chiverun/runtime/execution.py
+++ b/chiverun/runtime/execution.py
@@ -156,7 +156,7 @@
             repeatable=work.request_class.repeatable,
             attempts_left=hedge.attempts_left,
             delay_s=self._admission.hedge_delay_s(work),
-            left_s=work.deadline - self._clock.monotonic(),
+            remaining_s=work.deadline - self._clock.monotonic(),
         )
 
     def _hedge(
@@ -277,8 +277,8 @@
 
 def epoch_ms(clock: "Clock", deadline: float) -> str:
     """Return a monotonic deadline as milliseconds of the wall clock."""
-    left_s = deadline - clock.monotonic()
-    return str(int((clock.wall() + left_s) * 1000))
+    remaining_s = deadline - clock.monotonic()
+    return str(int((clock.wall() + remaining_s) * 1000))
 
 
 def deadline_from_epoch(clock: "Clock", text: str) -> float:
--- a/chiverun/runtime/headercodec.py
+++ b/chiverun/runtime/headercodec.py
@@ -59,7 +59,7 @@
     ) -> RequestMetadata: ...
 
     def request_headers(
-        self, headers: "Headers", server: "Server", left_s: float
+        self, headers: "Headers", server: "Server", remaining_s: float
     ) -> "Headers": ...
 
     def response_metadata(
--- a/chiverun/runtime/sending.py
+++ b/chiverun/runtime/sending.py
@@ -127,11 +127,11 @@
         if isinstance(connection, NotSent):
             return SendResult(end=connection)
         try:
-            left_s = until - self._loop.time()
-            if left_s <= 0:
+            remaining_s = until - self._loop.time()
+            if remaining_s <= 0:
                 return SendResult(end=NotSent(detail="deadline passed"))
             end = await connection.exchange(
-                self._outgoing(row, request, facts, left_s), left_s
+                self._outgoing(row, request, facts, remaining_s), remaining_s
             )
             result = self._interpret(row, end, request_id=facts.request_id)
             if isinstance(result.end, Mismatched | Incomplete):
@@ -167,11 +167,11 @@
         row: ServerRow,
         request: IncomingRequest,
         facts: RequestMetadata,
-        left_s: float,
+        remaining_s: float,
     ) -> OutgoingRequest:
         headers = end_to_end(request.headers)
         headers = self._header_codec.request_headers(
-            headers, row.server, left_s
+            headers, row.server, remaining_s
         )
         has_body = request.body or request.method not in ("GET", "HEAD")
         if has_body:
--- a/chiverun/runtime/steering.py
+++ b/chiverun/runtime/steering.py
@@ -206,7 +206,7 @@
     def _wait_s(self, request: Request) -> float:
         """Return how long to wait before a second server is asked."""
         now = self._loop.time()
-        left_s = max(0.0, request.until - now)
+        remaining_s = max(0.0, request.until - now)
         hedge_at = request.incoming.arrived_at + max(
             HEDGE_USUAL_FACTOR * self._usual_s(request.route),
             HEDGE_OBJECTIVE_PART * request.route.objective_s,
@@ -217,7 +217,7 @@
             and request.runs < request.route.attempts
             and now < hedge_at
         )
-        return min(left_s, hedge_at - now) if may_hedge else left_s
+        return min(remaining_s, hedge_at - now) if may_hedge else remaining_s
 
     def _send_again(self, request: Request) -> bool:
         may_have_run = request.runs > 0
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -324,7 +324,7 @@
         """Guards against slots granted to requests that gave up."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
         grant = zone.take()
-        late, next_one = zone.wait(left_s=0.5), zone.wait()
+        late, next_one = zone.wait(remaining_s=0.5), zone.wait()
         zone.clock.advance(1.0)
         zone.admission.release(grant, OK)
         self.assertEqual(ResultCode.DEADLINE_UNREACHABLE, late.error.code)
@@ -342,9 +342,9 @@
         _learn(zone, READ, 0.1)
         zone.take()
         for _ in range(3):
-            zone.wait(left_s=0.6)
+            zone.wait(remaining_s=0.6)
         with self.assertRaises(ChiverunError) as caught:
-            zone.wait(left_s=0.4)
+            zone.wait(remaining_s=0.4)
         self.assertEqual(
             ResultCode.DEADLINE_UNREACHABLE, caught.exception.code
         )
@@ -372,9 +372,9 @@
         """Guards against a refusal that prevents its own correction."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
         _learn(zone, READ, 1.0)
-        self.assertIsNone(zone.take(left_s=0.5))
+        self.assertIsNone(zone.take(remaining_s=0.5))
         zone.advance(10.0)
-        self.assertIsNotNone(zone.take(left_s=0.5))
+        self.assertIsNotNone(zone.take(remaining_s=0.5))
 
     def test_threads_wait_and_are_woken(self):
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
--- a/tests/core/test_choice.py
+++ b/tests/core/test_choice.py
@@ -143,7 +143,7 @@
         """Guards against comparing servers by their mix of requests."""
         zone = Zoned(state(server("s1", long_slots=4), server("s2")))
         for request_class, seconds in ((READ, 0.01), (EXPORT, 0.5)) * 60:
-            grant = zone.take(request_class, left_s=9.0)
+            grant = zone.take(request_class, remaining_s=9.0)
             zone.advance(seconds)
             zone.admission.release(grant, OK)
         row = zone.admission._health["s1"]
--- a/tests/core/test_retries.py
+++ b/tests/core/test_retries.py
@@ -52,12 +52,12 @@
         (True, 2, None, 2.0, None),
         (True, 2, 0.02, 0.03, None),
     )
-    def test_plan(self, repeatable, attempts, delay_s, left_s, expected):
+    def test_plan(self, repeatable, attempts, delay_s, remaining_s, expected):
         plan = plan_hedge(
             repeatable=repeatable,
             attempts_left=attempts,
             delay_s=delay_s,
-            left_s=left_s,
+            remaining_s=remaining_s,
         )
         self.assertEqual(expected, plan and plan.delay_s)
 
--- a/tests/core/zones.py
+++ b/tests/core/zones.py
@@ -109,13 +109,15 @@
         self.clock.advance(seconds)
         self.publish()
 
-    def work(self, request_class=READ, left_s=2.0, service="desk", **fields):
-        """Return a request with a deadline in `left_s`."""
+    def work(
+        self, request_class=READ, remaining_s=2.0, service="desk", **fields
+    ):
+        """Return a request with a deadline in `remaining_s`."""
         return Work(
             service=service,
             request_class=request_class,
             source_region=fields.get("source", "dar"),
-            deadline=self.clock.monotonic() + left_s,
+            deadline=self.clock.monotonic() + remaining_s,
         )
 
     def take(self, request_class=READ, **fields):
--- a/tests/runtime/test_hedging.py
+++ b/tests/runtime/test_hedging.py
@@ -79,7 +79,7 @@
             for _ in range(50):
                 times.record(0.01, self.clock.monotonic())
 
-    def run(self, request_class=READ, attempts_left=2, left_s=2.0):
+    def run(self, request_class=READ, attempts_left=2, remaining_s=2.0):
         """Run one request that is first sent to the slow server."""
         content = Content(
             method=request_class.methods[0],
@@ -89,7 +89,7 @@
             request_id="r1",
         )
         return self.executor.run(
-            self.work(request_class, left_s=left_s),
+            self.work(request_class, remaining_s=remaining_s),
             content,
             frozenset(),
             may_wait=False,
@@ -171,10 +171,10 @@
         (READ, 2, 0.02, 1),
         (READ, 2, 2.0, 0),
     )
-    def test_no_hedge(self, request_class, attempts_left, left_s, start):
+    def test_no_hedge(self, request_class, attempts_left, remaining_s, start):
         """Never for non-repeatable ones, over attempts or the budget."""
         self.zone.budget = RetryBudget(start=float(start))
-        attempt = self.zone.run(request_class, attempts_left, left_s)
+        attempt = self.zone.run(request_class, attempts_left, remaining_s)
         self.assertIsNone(attempt.hedge_server)
         self.assertEqual([], self.zone.events("s2"))
         self.assertEqual(bool(start), self.zone.budget.withdraw())
