--- a/chiverun/runtime/instance.py
+++ b/chiverun/runtime/instance.py
@@ -43,7 +43,7 @@
 from chiverun.runtime.execution import Executor
 from chiverun.runtime.forward import ForwardHandler
 from chiverun.runtime.healthcheck import HealthCheck
-from chiverun.runtime.public import Public
+from chiverun.runtime.public import LookupHandler
 from chiverun.runtime.status import Sources
 from chiverun.runtime.storeworker import HeadWatch
 from chiverun.runtime.storeworker import SeatRecords
@@ -204,7 +204,7 @@
             telemetry=self._telemetry,
             threads=cfg.forward_threads,
         )
-        public = Public(
+        public = LookupHandler(
             sources=Sources(
                 clock=self._clock,
                 plane=self._plane,
--- a/chiverun/runtime/public.py
+++ b/chiverun/runtime/public.py
@@ -27,7 +27,7 @@
 _COUNT = re.compile("[1-9][0-9]{0,3}")
 
 
-class Public:
+class LookupHandler:
     """Handler of the look-up address."""
 
     def __init__(
--- a/tests/runtime/test_public.py
+++ b/tests/runtime/test_public.py
@@ -12,7 +12,7 @@
 from chiverun.core.idempotency import KeyTable
 from chiverun.core.state import empty_state
 from chiverun.integrations.web import IncomingRequest
-from chiverun.runtime.public import Public
+from chiverun.runtime.public import LookupHandler
 
 
 class IssueTest(unittest.TestCase):
@@ -41,7 +41,7 @@
                 seats=() if case == "no seat" else (1,), state=empty_state()
             ),
         )
-        public = Public(
+        public = LookupHandler(
             sources=types.SimpleNamespace(plane=plane),
             keys=keys,
             blocks=None,
