--- a/chiverun/core/edgemessages.py
+++ b/chiverun/core/edgemessages.py
@@ -19,7 +19,7 @@
     """
 
     machine: Machine
-    life: BootId
+    boot_id: BootId = msgspec.field(name="life")
     leaving: bool
     reads_store: bool
 
@@ -33,7 +33,7 @@
     """
 
     sender: InstanceId
-    life: BootId
+    boot_id: BootId = msgspec.field(name="life")
     since: Revision
     as_of: Revision
     items: list[Versioned]
--- a/chiverun/core/idempotency.py
+++ b/chiverun/core/idempotency.py
@@ -74,7 +74,7 @@
     """The issuer named by a key."""
 
     instance: InstanceId
-    life: BootId
+    boot_id: BootId
 
 
 def parse_key(key: str) -> KeyParts | None:
@@ -82,7 +82,7 @@
     parts = key.split(_SEPARATOR)
     if len(parts) != 3 or not all(parts):
         return None
-    return KeyParts(instance=InstanceId(parts[0]), life=BootId(parts[1]))
+    return KeyParts(instance=InstanceId(parts[0]), boot_id=BootId(parts[1]))
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -105,10 +105,10 @@
     """
 
     def __init__(
-        self, *, instance: InstanceId, life: BootId, clock: "Clock"
+        self, *, instance: InstanceId, boot_id: BootId, clock: "Clock"
     ) -> None:
         self._instance = instance
-        self._life = life
+        self._life = boot_id
         self._clock = clock
         self._changed = threading.Condition()
         self._rows: collections.OrderedDict[IdempotencyKey, _Row] = (
@@ -226,11 +226,11 @@
     return len(result.body) + headers
 
 
-def _unlisted(key: IdempotencyKey, life: BootId) -> Reject:
+def _unlisted(key: IdempotencyKey, boot_id: BootId) -> Reject:
     """An unlisted key may have run before it expired or its process ended."""
     parts = parse_key(key)
     if parts is None:
         return Reject(outcome=Outcome.NOT_RUN, code=ResultCode.KEY_UNKNOWN)
-    if parts.life != life:
+    if parts.boot_id != boot_id:
         return Reject(outcome=Outcome.UNKNOWN, code=ResultCode.KEY_OTHER_LIFE)
     return Reject(outcome=Outcome.UNKNOWN, code=ResultCode.KEY_UNKNOWN)
--- a/chiverun/core/ids.py
+++ b/chiverun/core/ids.py
@@ -9,7 +9,7 @@
 SiteName = NewType("SiteName", str)
 InstanceId = NewType("InstanceId", str)
 # One run of an instance's process; drawn at random at start.
-BootId = NewType("LifeId", str)
+BootId = NewType("BootId", str)
 TicketNumber = NewType("TicketNumber", int)
 SeatIndex = NewType("SeatIndex", int)
 IdempotencyKey = NewType("IdempotencyKey", str)
--- a/chiverun/core/membership.py
+++ b/chiverun/core/membership.py
@@ -66,8 +66,8 @@
     if row.advert is None or row.advert.leaving != advert.leaving:
         table.version += 1
     row.advert = advert
-    if row.life != advert.life:
-        row.life = advert.life
+    if row.boot_id != advert.boot_id:
+        row.boot_id = advert.boot_id
         row.noted_sequence = table.sequence
     if row.zone != advert.zone:
         row.zone = advert.zone
@@ -244,11 +244,11 @@
     a suspect again.
     """
     for row in list(table.rows.values()):
-        if row.peer != sender.peer or row.life is None:
+        if row.peer != sender.peer or row.boot_id is None:
             continue
-        if row.life != sender.life:
+        if row.boot_id != sender.boot_id:
             if row.noted_sequence < sequence:
-                note_ended(table, row.life)
+                note_ended(table, row.boot_id)
                 if row.advert is None:
                     table.remove(row.instance)
             continue
@@ -262,9 +262,9 @@
         row.state_since = now
 
 
-def note_ended(table: MemberTable, life: BootId) -> None:
+def note_ended(table: MemberTable, boot_id: BootId) -> None:
     """Keep a lifetime that has provably ended."""
-    table.ended[life] = None
+    table.ended[boot_id] = None
     while len(table.ended) > ENDED_KEPT:
         del table.ended[next(iter(table.ended))]
 
--- a/chiverun/core/messages.py
+++ b/chiverun/core/messages.py
@@ -49,7 +49,7 @@
     """
 
     instance: InstanceId
-    life: BootId
+    boot_id: BootId
     incarnation: int
     sequence: int
     zone: ZoneName
@@ -162,7 +162,7 @@
     """Asks the holder of more seats for a part of them."""
 
     instance: InstanceId
-    life: BootId
+    boot_id: BootId
     peer: Address
     held: int
 
@@ -178,7 +178,7 @@
     seat: SeatIndex
     epoch: int
     instance: InstanceId
-    life: BootId
+    boot_id: BootId
     previous_holder: Address
     short_ms: int
     long_ms: int
@@ -190,7 +190,7 @@
 
     seat: SeatIndex
     epoch: int
-    life: BootId
+    boot_id: BootId
 
 
 class SeatHolderRecord(_Record):
@@ -198,7 +198,7 @@
 
     seat: SeatIndex
     epoch: int
-    life: BootId
+    boot_id: BootId
 
 
 class SeatHolderRecords(_Message, tag=11):
--- a/chiverun/core/seats.py
+++ b/chiverun/core/seats.py
@@ -125,7 +125,7 @@
 def holders_digest(table: SeatTable) -> int:
     """Return a hash of the marks, 0 if there are none."""
     if table.digest is None:
-        marks = sorted((s, m.epoch, m.life) for s, m in table.marks.items())
+        marks = sorted((s, m.epoch, m.boot_id) for s, m in table.marks.items())
         data = msgspec.msgpack.encode(marks) if marks else b""
         table.digest = xxhash.xxh32_intdigest(data) if data else 0
     return table.digest
@@ -136,21 +136,21 @@
 ) -> tuple[SeatHolderRecord, ...]:
     """Return the known marks that are later than the given ones."""
     return tuple(
-        SeatHolderRecord(seat=m.seat, epoch=known.epoch, life=known.life)
+        SeatHolderRecord(seat=m.seat, epoch=known.epoch, boot_id=known.boot_id)
         for m in marks
         if (known := table.marks.get(m.seat)) is not None
-        and known > SeatHolder(m.epoch, m.life)
+        and known > SeatHolder(m.epoch, m.boot_id)
     )
 
 
-def lost_seats(table: SeatTable, life: BootId) -> set[SeatIndex]:
+def lost_seats(table: SeatTable, boot_id: BootId) -> set[SeatIndex]:
     """Return the seats held or being released that a later holder has."""
     mine = {**table.releasing, **table.held}
     return {
         seat
         for seat, held in mine.items()
         if seat in table.marks
-        and table.marks[seat] > SeatHolder(held.epoch, life)
+        and table.marks[seat] > SeatHolder(held.epoch, boot_id)
     }
 
 
@@ -174,9 +174,9 @@
     pings to it stayed without an answer.
     """
     silent = {
-        row.life
+        row.boot_id
         for row in members.in_zone(zone)
-        if row.life is not None
+        if row.boot_id is not None
         and row.state is MemberState.DEAD
         and now - row.state_since >= DEAD_BEFORE_CLAIM_S
         and now - row.measured_at >= SUSPECT_S
@@ -208,7 +208,7 @@
         plan.missing, key=lambda s: (s % plan.live != plan.rank, s)
     ):
         owner = record.owners.get(seat)
-        is_mine = owner is not None and owner.life == me.life
+        is_mine = owner is not None and owner.boot_id == me.boot_id
         if len(claims) >= plan.most and not is_mine:
             continue
         if owner is not None and not _has_ended(owner, plan, me):
@@ -217,8 +217,8 @@
         epoch = record.epoch(seat)
         if (
             mark.epoch > epoch
-            and mark.life not in plan.ended
-            and mark.life != me.life
+            and mark.boot_id not in plan.ended
+            and mark.boot_id != me.boot_id
             and seat not in plan.overdue
         ):
             continue
@@ -234,8 +234,8 @@
     # address is bound by one process at a time. The instance's name alone
     # proves nothing: a replacement elsewhere may have the same name.
     return (
-        owner.life in plan.ended
-        or me.life == owner.life
+        owner.boot_id in plan.ended
+        or me.boot_id == owner.boot_id
         or (owner.peer == me.peer)
     )
 
--- a/chiverun/core/tables.py
+++ b/chiverun/core/tables.py
@@ -21,7 +21,7 @@
 
     `advert` is None for an instance known only from the seat record.
     `measured_at` is when its advert was made. `noted_sequence` is the number
-    of the last ping sent before `life` was learned; `synced_sequence` that
+    of the last ping sent before `boot_id` was learned; `synced_sequence` that
     of the last ping whose acknowledgement showed equal seat marks. `checks`
     counts the pings since the member was declared dead.
     """
@@ -30,7 +30,7 @@
     zone: ZoneName
     peer: Address
     incarnation: int
-    life: BootId | None = None
+    boot_id: BootId | None = None
     state: MemberState = MemberState.ALIVE
     state_since: float = 0.0
     acked_at: float = float("-inf")
@@ -152,7 +152,7 @@
     short_from: float
     long_from: float
     receiver: InstanceId
-    life: BootId
+    boot_id: BootId
     sent_at: float = float("-inf")
 
 
@@ -160,7 +160,7 @@
     """The holder of a seat in the store's record."""
 
     instance: InstanceId
-    life: BootId
+    boot_id: BootId = msgspec.field(name="life")
     incarnation: int
     peer: Address
     epoch: int
@@ -187,7 +187,7 @@
     """The latest holder known of a seat; the greater mark is the later."""
 
     epoch: int
-    life: BootId
+    boot_id: BootId
 
 
 @dataclasses.dataclass(kw_only=True)
--- a/chiverun/runtime/context.py
+++ b/chiverun/runtime/context.py
@@ -30,7 +30,7 @@
     """Who this instance is."""
 
     instance: InstanceId
-    life: BootId
+    boot_id: BootId
     zone: ZoneName
     lookup: Address
     entry: Address
--- a/chiverun/runtime/edge.py
+++ b/chiverun/runtime/edge.py
@@ -77,7 +77,7 @@
         )
         self.follower = CatalogFollower(
             me=self._me,
-            life=self._life,
+            boot_id=self._life,
             store=store,
             peers=self._peers,
             seeds=cfg.seeds,
--- a/chiverun/runtime/follower.py
+++ b/chiverun/runtime/follower.py
@@ -57,7 +57,7 @@
         self,
         *,
         me: Machine,
-        life: BootId,
+        boot_id: BootId,
         store: CatalogStore,
         peers: ZmqPeers,
         seeds: tuple[Address, ...],
@@ -67,12 +67,12 @@
         self.table = PeerTable(me=me)
         self.leaving = False
         self._me = me
-        self._life = life
+        self._life = boot_id
         self._store = store
         self._peers = peers
         self._seeds = tuple(seed for seed in seeds if seed != me.peer)
         self._on_change = on_change
-        self._rng = random.Random(life)
+        self._rng = random.Random(boot_id)
         self._loop = asyncio.get_running_loop()
         self._reads_store = False
         self._needs_listing = True
@@ -133,7 +133,7 @@
         message = edgemessages.encode(
             Heartbeat(
                 machine=self._me,
-                life=self._life,
+                boot_id=self._life,
                 leaving=self.leaving,
                 reads_store=self._reads_store,
             )
@@ -251,7 +251,7 @@
         message = edgemessages.encode(
             Update(
                 sender=self._me.name,
-                life=self._life,
+                boot_id=self._life,
                 since=since,
                 as_of=self.replica.as_of,
                 items=changed,
@@ -305,7 +305,7 @@
                 "machine heard",
                 extra={
                     "machine": beat.machine.name,
-                    "life": beat.life,
+                    "life": beat.boot_id,
                     "leaving": beat.leaving,
                 },
             )
@@ -344,7 +344,7 @@
         if pull.as_of:
             answer = Update(
                 sender=self._me.name,
-                life=self._life,
+                boot_id=self._life,
                 since=pull.as_of,
                 as_of=self.replica.as_of,
                 items=self.replica.changed_after(pull.as_of),
--- a/chiverun/runtime/gossip.py
+++ b/chiverun/runtime/gossip.py
@@ -28,7 +28,7 @@
     me = ctx.identity
     return Advert(
         instance=me.instance,
-        life=me.life,
+        boot_id=me.boot_id,
         incarnation=ctx.incarnation,
         sequence=ctx.sequence,
         zone=me.zone,
@@ -106,7 +106,7 @@
     for advert in (content.sender, *content.adverts):
         if advert.instance != ctx.identity.instance:
             membership.merge_advert(ctx.members, advert, zone, now)
-        elif advert.life != ctx.identity.life:
+        elif advert.boot_id != ctx.identity.boot_id:
             _outlive(ctx, advert)
         _note_marks(ctx, advert)
     for update in content.updates:
@@ -129,13 +129,13 @@
 def _note_marks(ctx: "ControlContext", advert: Advert) -> None:
     if advert.zone == ctx.identity.zone:
         for claim in advert.seats:
-            mark = SeatHolder(claim.epoch, advert.life)
+            mark = SeatHolder(claim.epoch, advert.boot_id)
             seat_rules.record_holder(ctx.seats, claim.seat, mark)
 
 
 def _all_marks(ctx: "ControlContext") -> tuple[SeatHolderRecord, ...]:
     return tuple(
-        SeatHolderRecord(seat=seat, epoch=mark.epoch, life=mark.life)
+        SeatHolderRecord(seat=seat, epoch=mark.epoch, boot_id=mark.boot_id)
         for seat, mark in ctx.seats.marks.items()
     )
 
@@ -161,7 +161,7 @@
         return
     for m in message.marks:
         seat_rules.record_holder(
-            ctx.seats, m.seat, SeatHolder(m.epoch, m.life)
+            ctx.seats, m.seat, SeatHolder(m.epoch, m.boot_id)
         )
     later = seat_rules.newer_holders(ctx.seats, message.marks)
     send_marks(ctx, message.sender, later)
--- a/chiverun/runtime/instance.py
+++ b/chiverun/runtime/instance.py
@@ -113,10 +113,10 @@
         self._rng = random.Random(secrets.randbits(64))
         self._is_stop_requested = False
         self._addresses = AddressMap(mapping=dict(cfg.address_map))
-        life = BootId(secrets.token_hex(8))
+        boot_id = BootId(secrets.token_hex(8))
         self._identity = Identity(
             instance=cfg.name,
-            life=life,
+            boot_id=boot_id,
             zone=cfg.zone,
             lookup=cfg.lookup_address,
             entry=cfg.entry_address,
@@ -134,7 +134,9 @@
             waiters_max=max(1, cfg.entry_threads // 2),
         )
         self._links = Links(zone=cfg.zone, clock=self._clock)
-        self._keys = KeyTable(instance=cfg.name, life=life, clock=self._clock)
+        self._keys = KeyTable(
+            instance=cfg.name, boot_id=boot_id, clock=self._clock
+        )
         self._backends = HttpBackends(
             clock=self._clock,
             addresses=self._addresses,
@@ -279,7 +281,7 @@
         self._timer.start()
         self._watch.start()
         self._health.start()
-        _LOG.info("started", extra={"life": self._identity.life})
+        _LOG.info("started", extra={"life": self._identity.boot_id})
 
     def _leave(self) -> None:
         """Leave look-up answers, finish all requests, give seats away."""
--- a/chiverun/runtime/membersystem.py
+++ b/chiverun/runtime/membersystem.py
@@ -86,7 +86,7 @@
         membership.record_ack(ctx.members, content.sender, sequence, now)
     gossip.merge(ctx, content)
     row = ctx.members.rows.get(content.sender.instance)
-    if row is not None and row.life == content.sender.life:
+    if row is not None and row.boot_id == content.sender.boot_id:
         row.acked_at = now
         if gossip.has_same_marks(ctx, content):
             row.synced_sequence = max(row.synced_sequence, sequence)
--- a/chiverun/runtime/seatsystem.py
+++ b/chiverun/runtime/seatsystem.py
@@ -98,7 +98,7 @@
 
 
 def _drop_lost_seats(ctx: "ControlContext") -> None:
-    for seat in seat_rules.lost_seats(ctx.seats, ctx.identity.life):
+    for seat in seat_rules.lost_seats(ctx.seats, ctx.identity.boot_id):
         _LOG.warning("seat lost to a later holder", extra={"seat": seat})
         _drop(ctx, seat)
 
@@ -118,7 +118,7 @@
     seats.news_at = now
     marks = tuple(
         SeatHolderRecord(
-            seat=s, epoch=seats.marks[s].epoch, life=seats.marks[s].life
+            seat=s, epoch=seats.marks[s].epoch, boot_id=seats.marks[s].boot_id
         )
         for s in seats.news
     )
@@ -221,7 +221,7 @@
     if report.record is not None:
         _note_record(ctx, report.record)
     for claim in report.claims:
-        mark = SeatHolder(claim.epoch, ctx.identity.life)
+        mark = SeatHolder(claim.epoch, ctx.identity.boot_id)
         known = ctx.seats.marks.get(claim.seat)
         if claim.seat in ctx.seats.held or (known and known > mark):
             continue
@@ -291,7 +291,7 @@
     # that its epoch is lower; giving up the seat is always safe.
     for seat in [*seats.held, *seats.releasing]:
         owner = report.record.owners.get(seat)
-        if owner is not None and owner.life != ctx.identity.life:
+        if owner is not None and owner.boot_id != ctx.identity.boot_id:
             _drop(ctx, seat)
     seats.is_record_read = True
 
@@ -302,7 +302,7 @@
         if row.advert is not None:
             claims = tuple(
                 SeatHolderRecord(
-                    seat=c.seat, epoch=c.epoch, life=row.advert.life
+                    seat=c.seat, epoch=c.epoch, boot_id=row.advert.boot_id
                 )
                 for c in row.advert.seats
             )
@@ -334,28 +334,28 @@
     """Note owners and marks; unknown owners become members to be probed."""
     now = ctx.clock.monotonic()
     rows = ctx.members.rows
-    lives = {m.life for m in rows.values()}
+    lives = {m.boot_id for m in rows.values()}
     for seat, owner in record.owners.items():
-        mark = SeatHolder(owner.epoch, owner.life)
+        mark = SeatHolder(owner.epoch, owner.boot_id)
         seat_rules.record_holder(ctx.seats, seat, mark)
         if (
-            owner.life in lives
-            or owner.life in ctx.members.ended
+            owner.boot_id in lives
+            or owner.boot_id in ctx.members.ended
             or owner.peer == ctx.identity.peer
         ):
             continue
-        lives.add(owner.life)
+        lives.add(owner.boot_id)
         # '~' cannot be part of an instance's name.
         name = owner.instance
         if name in rows or name == ctx.identity.instance:
-            name = InstanceId(f"{owner.instance}~{owner.life}")
+            name = InstanceId(f"{owner.instance}~{owner.boot_id}")
         ctx.members.add(
             Member(
                 instance=name,
                 zone=ctx.identity.zone,
                 peer=owner.peer,
                 incarnation=owner.incarnation,
-                life=owner.life,
+                boot_id=owner.boot_id,
                 state_since=now,
                 noted_sequence=ctx.members.sequence,
             )
--- a/chiverun/runtime/seattransfer.py
+++ b/chiverun/runtime/seattransfer.py
@@ -47,7 +47,7 @@
         rich.peer,
         SeatRequest(
             instance=ctx.identity.instance,
-            life=ctx.identity.life,
+            boot_id=ctx.identity.boot_id,
             peer=ctx.identity.peer,
             held=len(ctx.seats.held),
         ),
@@ -61,14 +61,14 @@
     hold, or that are on the way to it, count as well.
     """
     row = ctx.members.rows.get(message.instance)
-    if row is None or not row.is_live or row.life != message.life:
+    if row is None or not row.is_live or row.boot_id != message.boot_id:
         return
     seats = ctx.seats
     if seats.releasing or seats.suspended_at is not None or ctx.is_leaving:
         return
     known = len(row.advert.seats) if row.advert else 0
     under_way = sum(
-        1 for t in seats.transfers.values() if t.life == message.life
+        1 for t in seats.transfers.values() if t.boot_id == message.boot_id
     )
     count = len(seats.held) - max(message.held, known) - under_way
     # Every other seat: neighbouring seats share one server's slots.
@@ -150,9 +150,9 @@
         short_from=releasing.short_from,
         long_from=releasing.long_from,
         receiver=row.instance,
-        life=row.life,
+        boot_id=row.boot_id,
     )
-    seat_rules.record_holder(ctx.seats, seat, SeatHolder(epoch, row.life))
+    seat_rules.record_holder(ctx.seats, seat, SeatHolder(epoch, row.boot_id))
     return member_owner(row, epoch)
 
 
@@ -163,7 +163,7 @@
         if (
             row is None
             or not row.is_live
-            or row.life != transfer.life
+            or row.boot_id != transfer.boot_id
             or _has_arrived(ctx, seat, transfer)
         ):
             del ctx.seats.transfers[seat]
@@ -179,7 +179,7 @@
         seat=seat,
         epoch=transfer.epoch,
         instance=transfer.receiver,
-        life=transfer.life,
+        boot_id=transfer.boot_id,
         previous_holder=ctx.identity.peer,
         short_ms=_left_ms(transfer.short_from, now),
         long_ms=_left_ms(transfer.long_from, now),
@@ -205,7 +205,7 @@
 def on_seat_transfer(ctx: "ControlContext", message: SeatTransfer) -> None:
     """Take a seat over; a repeated or late message changes nothing."""
     zone = ctx.state.of(Zone).get(ctx.identity.zone)
-    if message.life != ctx.identity.life or zone is None:
+    if message.boot_id != ctx.identity.boot_id or zone is None:
         return
     if not 0 <= message.seat < zone.seats:
         return
@@ -217,13 +217,15 @@
         )
         return
     taken = SeatTransferAck(
-        seat=message.seat, epoch=message.epoch, life=message.life
+        seat=message.seat, epoch=message.epoch, boot_id=message.boot_id
     )
     if message.epoch <= ctx.seats.taken.get(message.seat, 0):
         ctx.send(message.previous_holder, taken)
         return
     known = ctx.seats.marks.get(message.seat)
-    if known is not None and known > SeatHolder(message.epoch, message.life):
+    if known is not None and known > SeatHolder(
+        message.epoch, message.boot_id
+    ):
         return
     now = ctx.clock.monotonic()
     ctx.seats.taken[message.seat] = message.epoch
@@ -243,16 +245,16 @@
 def on_seat_taken(ctx: "ControlContext", message: SeatTransferAck) -> None:
     """End a transfer whose receiver has the seat."""
     transfer = ctx.seats.transfers.get(message.seat)
-    if transfer is not None and (transfer.epoch, transfer.life) == (
+    if transfer is not None and (transfer.epoch, transfer.boot_id) == (
         message.epoch,
-        message.life,
+        message.boot_id,
     ):
         del ctx.seats.transfers[message.seat]
 
 
 def gain(ctx: "ControlContext", seat: SeatIndex, epoch: int) -> None:
     """Note a seat that this instance holds from now on."""
-    mark = SeatHolder(epoch, ctx.identity.life)
+    mark = SeatHolder(epoch, ctx.identity.boot_id)
     seat_rules.record_holder(ctx.seats, seat, mark)
     ctx.seats.news[seat] = _NEWS_SENDS
 
@@ -261,7 +263,7 @@
     """Return a member as the owner of a seat."""
     return Owner(
         instance=row.instance,
-        life=row.life,
+        boot_id=row.boot_id,
         incarnation=row.incarnation,
         peer=row.peer,
         epoch=epoch,
@@ -272,7 +274,7 @@
     """Return this instance as the owner of a seat."""
     return Owner(
         instance=ctx.identity.instance,
-        life=ctx.identity.life,
+        boot_id=ctx.identity.boot_id,
         incarnation=ctx.incarnation,
         peer=ctx.identity.peer,
         epoch=epoch,
--- a/chiverun/runtime/status.py
+++ b/chiverun/runtime/status.py
@@ -46,7 +46,7 @@
     """
 
     instance: str
-    life: str
+    boot_id: str = msgspec.field(name="life")
     zone: str
     number: int
     digest: str
@@ -72,7 +72,7 @@
     held = dict(plane.seats.held)
     return Status(
         instance=plane.identity.instance,
-        life=plane.identity.life,
+        boot_id=plane.identity.boot_id,
         zone=plane.identity.zone,
         number=plane.state.number,
         digest=plane.state.digest,
--- a/standins/measure_control.py
+++ b/standins/measure_control.py
@@ -121,7 +121,7 @@
         zone = _zone_name(number // ZONE_INSTANCES)
         return Advert(
             instance=InstanceId(f"{zone}-{number % ZONE_INSTANCES}"),
-            life=BootId(f"{number:016x}"),
+            boot_id=BootId(f"{number:016x}"),
             incarnation=1,
             sequence=1,
             zone=zone,
@@ -306,7 +306,7 @@
     plane = ControlPlane(
         identity=Identity(
             instance=InstanceId(f"{ZONE}-{number}"),
-            life=BootId(f"{number:016x}"),
+            boot_id=BootId(f"{number:016x}"),
             zone=ZONE,
             lookup=own,
             entry=own,
--- a/standins/planes.py
+++ b/standins/planes.py
@@ -202,7 +202,7 @@
 class Use:
     """A use of a slot by a process lifetime, in monotonic seconds."""
 
-    life: BootId
+    boot_id: BootId
     start: float
     until: float
 
@@ -235,14 +235,14 @@
         self.inbox: collections.deque[Event | Message] = collections.deque()
         self.running: list[_Running] = []
         rng = random.Random(planes.rng.random())
-        life = BootId(f"{planes.rng.getrandbits(64):016x}")
+        boot_id = BootId(f"{planes.rng.getrandbits(64):016x}")
         self.admission = Admission(zone=zone, clock=planes.clock, rng=rng)
         host, _, port = peer.rpartition(":")
         first = int(port)
         self.plane = kind(
             identity=Identity(
                 instance=InstanceId(name),
-                life=life,
+                boot_id=boot_id,
                 zone=zone,
                 lookup=Address(f"{host}:{first + 1}"),
                 entry=Address(f"{host}:{first + 2}"),
@@ -270,8 +270,8 @@
         return self.plane.identity.instance
 
     @property
-    def life(self) -> BootId:
-        return self.plane.identity.life
+    def boot_id(self) -> BootId:
+        return self.plane.identity.boot_id
 
     @property
     def held(self) -> set[int]:
@@ -333,7 +333,9 @@
             return
         # Many requests run until their deadline, the worst for a claimant.
         part = self._planes.rng.choice((1.0, 1.0, 0.1))
-        use = Use(life=self.life, start=now, until=now + longest_s * part)
+        use = Use(
+            boot_id=self.boot_id, start=now, until=now + longest_s * part
+        )
         self._planes.uses[grant.server.name, grant.slot].append(use)
         self.running.append(_Running(grant=grant, use=use))
 
@@ -434,12 +436,12 @@
             for use in sorted(uses, key=lambda u: (u.start, u.until)):
                 if (
                     last is not None
-                    and use.life != last.life
+                    and use.boot_id != last.boot_id
                     and use.start < last.until
                 ):
                     found.append(
-                        f"{slot}: {last.life} until {last.until:.1f}, "
-                        f"{use.life} from {use.start:.1f}"
+                        f"{slot}: {last.boot_id} until {last.until:.1f}, "
+                        f"{use.boot_id} from {use.start:.1f}"
                     )
                 if last is None or use.until > last.until:
                     last = use
--- a/tests/core/test_idempotency.py
+++ b/tests/core/test_idempotency.py
@@ -36,9 +36,9 @@
         self.clock = ManualClock()
         self.table = self._table("life-1")
 
-    def _table(self, life):
+    def _table(self, boot_id):
         kind = NaiveKeyTable if IS_NAIVE else KeyTable
-        return kind(instance="a-1", life=life, clock=self.clock)
+        return kind(instance="a-1", boot_id=boot_id, clock=self.clock)
 
     def _begin(self, key, fingerprint="f"):
         now = self.clock.monotonic()
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -16,7 +16,7 @@
 
 def _advert(name: str, **fields) -> Advert:
     values = {
-        "life": f"{name}-1",
+        "boot_id": f"{name}-1",
         "incarnation": 1,
         "sequence": 1,
         "zone": _ZONE,
@@ -82,12 +82,14 @@
         ("other life, ping sent before it was known", "b-2", 3, False),
         ("other life", "b-2", 5, True),
     )
-    def test_end_of_a_lifetime(self, name, life, sequence, is_ended) -> None:
+    def test_end_of_a_lifetime(
+        self, name, boot_id, sequence, is_ended
+    ) -> None:
         """Only an answer from the address proves that a process ended."""
         table = _table()
         table.sequence = 4
         membership.merge_advert(table, _advert("b"), _ZONE, 0.0)
-        sender = _advert("c", life=life, peer="b:7000")
+        sender = _advert("c", boot_id=boot_id, peer="b:7000")
         membership.record_ack(table, sender, sequence, 1.0)
         self.assertEqual(is_ended, "b-1" in table.ended, name)
 
--- a/tests/core/test_peertable.py
+++ b/tests/core/test_peertable.py
@@ -24,7 +24,7 @@
 def _beat(name: str, region: str = "r1", **changes) -> Heartbeat:
     values = {
         "machine": _machine(name, region),
-        "life": "l1",
+        "boot_id": "l1",
         "leaving": False,
         "reads_store": True,
     }
--- a/tests/core/test_seats.py
+++ b/tests/core/test_seats.py
@@ -32,11 +32,11 @@
 from standins.planes import SHORT
 from standins.planes import ZONE
 
-_ME = Owner(instance="a", life="me", incarnation=1, peer="p1", epoch=0)
+_ME = Owner(instance="a", boot_id="me", incarnation=1, peer="p1", epoch=0)
 
 
 def _owner(**fields) -> Owner:
-    values = {"instance": "b", "life": "b1", "incarnation": 1, "peer": "p2"}
+    values = {"instance": "b", "boot_id": "b1", "incarnation": 1, "peer": "p2"}
     return Owner(**{**values, "epoch": 3, **fields})
 
 
@@ -68,26 +68,26 @@
         ("namesake elsewhere", _owner(instance="a"), {}, []),
         (
             "own seat above the share",
-            _owner(life="me"),
+            _owner(boot_id="me"),
             {"most": 0},
             _claim(3),
         ),
         ("above the share", None, {"most": 0}, []),
         (
             "record behind a live holder",
-            _owner(life="me"),
+            _owner(boot_id="me"),
             {"marks": {0: SeatHolder(8, "c1")}},
             [],
         ),
         (
             "record behind a silent holder",
-            _owner(life="me"),
+            _owner(boot_id="me"),
             {"marks": {0: SeatHolder(8, "c1")}, "ended": frozenset({"c1"})},
             _claim(8),
         ),
         (
             "holder never took the seat",
-            _owner(life="me"),
+            _owner(boot_id="me"),
             {"marks": {0: SeatHolder(8, "c1")}, "overdue": frozenset({0})},
             _claim(8),
         ),
@@ -106,7 +106,7 @@
 class RecordTest(unittest.TestCase):
     def test_jobs_out_of_order(self) -> None:
         """A retried write must not undo a later one."""
-        old, new = _owner(epoch=4), _owner(life="c1", epoch=5)
+        old, new = _owner(epoch=4), _owner(boot_id="c1", epoch=5)
         for order in ((old, new), (new, old)):
             record = SeatRecord()
             for owner in order:
@@ -122,16 +122,16 @@
         """Two holders with equal epochs both kept the seat."""
         one, two = SeatTable(), SeatTable()
         marks = [(4, "x"), (5, "x"), (5, "y")]
-        for epoch, life in marks:
-            record_holder(one, 0, SeatHolder(epoch, life))
-        for epoch, life in reversed(marks):
-            record_holder(two, 0, SeatHolder(epoch, life))
+        for epoch, boot_id in marks:
+            record_holder(one, 0, SeatHolder(epoch, boot_id))
+        for epoch, boot_id in reversed(marks):
+            record_holder(two, 0, SeatHolder(epoch, boot_id))
         self.assertEqual(holders_digest(one), holders_digest(two))
         one.held[0] = Held(epoch=5, short_from=0.0, long_from=0.0)
         self.assertEqual({0}, lost_seats(one, "x"))
         self.assertEqual(set(), lost_seats(one, "y"))
-        stale = SeatHolderRecord(seat=0, epoch=5, life="x")
-        fresh = SeatHolderRecord(seat=0, epoch=5, life="y")
+        stale = SeatHolderRecord(seat=0, epoch=5, boot_id="x")
+        fresh = SeatHolderRecord(seat=0, epoch=5, boot_id="y")
         self.assertEqual((fresh,), newer_holders(one, (stale,)))
         self.assertEqual((), newer_holders(one, (fresh,)))
 
@@ -167,7 +167,7 @@
                 zone=ZONE,
                 peer="p2",
                 incarnation=1,
-                life="b1",
+                boot_id="b1",
                 **{**values, **fields},
             )
         )
--- a/tests/runtime/test_drains.py
+++ b/tests/runtime/test_drains.py
@@ -33,7 +33,7 @@
 def _advert(name: str, zone: str, sequence: int = 1) -> Advert:
     return Advert(
         instance=name,
-        life=BootId(name),
+        boot_id=BootId(name),
         incarnation=1,
         sequence=sequence,
         zone=zone,
@@ -58,7 +58,7 @@
         self.plane = ControlPlane(
             identity=Identity(
                 instance="b1-0",
-                life=BootId("life"),
+                boot_id=BootId("life"),
                 zone="b1",
                 lookup="me:1",
                 entry="me:2",
--- a/tests/runtime/test_entry.py
+++ b/tests/runtime/test_entry.py
@@ -131,9 +131,9 @@
             leaving_servers=frozenset(),
         )
 
-    def _entry(self, executor, *, name="a-1", peers=(), life="life-1"):
+    def _entry(self, executor, *, name="a-1", peers=(), boot_id="life-1"):
         self.plane = types.SimpleNamespace(snapshot=self._snapshot(*peers))
-        self.keys = KeyTable(instance=name, life=life, clock=self.clock)
+        self.keys = KeyTable(instance=name, boot_id=boot_id, clock=self.clock)
         return EntryHandler(
             identity=types.SimpleNamespace(instance=name, zone="a"),
             clock=self.clock,
--- a/tests/runtime/test_follower.py
+++ b/tests/runtime/test_follower.py
@@ -95,7 +95,7 @@
         self.addCleanup(self.logs.pop_application)
         self.follower = CatalogFollower(
             me=_machine("m5"),
-            life="l1",
+            boot_id="l1",
             store=self.store,
             peers=self.peers,
             seeds=(),
@@ -128,7 +128,7 @@
     def _update(self, since: int, as_of: int, items, **more) -> Update:
         return Update(
             sender="m1",
-            life="l9",
+            boot_id="l9",
             since=since,
             as_of=as_of,
             items=items,
@@ -184,7 +184,10 @@
     async def test_missed_update_is_pulled(self) -> None:
         await self._begin()
         beat = Heartbeat(
-            machine=_machine("m1"), life="l9", leaving=False, reads_store=True
+            machine=_machine("m1"),
+            boot_id="l9",
+            leaving=False,
+            reads_store=True,
         )
         self._receive(beat)
         self.peers.sent.clear()
--- a/tests/runtime/test_public.py
+++ b/tests/runtime/test_public.py
@@ -27,7 +27,7 @@
     )
     def test_issue(self, case, query, status, code):
         """Guards against keys of an instance that cannot serve them."""
-        keys = KeyTable(instance="a-1", life="l", clock=ManualClock())
+        keys = KeyTable(instance="a-1", boot_id="l", clock=ManualClock())
         if case == "full":
             keys.issue(KEYS_MAX)
         plane = types.SimpleNamespace(
--- a/tests/runtime/test_seatsystem.py
+++ b/tests/runtime/test_seatsystem.py
@@ -72,7 +72,7 @@
         """A paused holder handed on a seat that another had claimed."""
         planes, (one, two) = self._planes(2, **_QUIET)
         request = SeatRequest(
-            instance=two.name, life=two.life, peer=two.peer, held=0
+            instance=two.name, boot_id=two.boot_id, peer=two.peer, held=0
         )
         self._pass_time(planes, 10.0)
         planes.store.is_down = True
@@ -124,7 +124,7 @@
                 seat=0,
                 epoch=50,
                 instance=fresh.name,
-                life=fresh.life,
+                boot_id=fresh.boot_id,
                 previous_holder=fresh.peer,
                 short_ms=0,
                 long_ms=0,
@@ -145,7 +145,7 @@
             seat=seat,
             epoch=two.plane.seats.held[seat].epoch + 1,
             instance=one.name,
-            life=one.life,
+            boot_id=one.boot_id,
             previous_holder=two.peer,
             short_ms=0,
             long_ms=5000,
@@ -171,7 +171,7 @@
         """A late request made the holder give away more than its excess."""
         planes, (one, two) = self._planes(2, **_QUIET)
         request = SeatRequest(
-            instance=two.name, life=two.life, peer=two.peer, held=0
+            instance=two.name, boot_id=two.boot_id, peer=two.peer, held=0
         )
         for _ in range(3):
             one.plane.receive(request)
@@ -179,7 +179,7 @@
         three = planes.start(9)
         planes.run(2.0)
         late = SeatRequest(
-            instance=three.name, life=three.life, peer=three.peer, held=0
+            instance=three.name, boot_id=three.boot_id, peer=three.peer, held=0
         )
         one.plane.seats.releasing.clear()
         before = len(one.held)
@@ -213,7 +213,7 @@
         planes, (one,) = self._planes(1, **_QUIET)
         record, _ = one.records.read()
         other = msgspec.structs.replace(
-            record.owners[0], life="other", peer="127.9.9.9:1", epoch=1
+            record.owners[0], boot_id="other", peer="127.9.9.9:1", epoch=1
         )
         record.owners[0] = other
         for seat in one.plane.seats.held.values():
@@ -247,7 +247,9 @@
         planes.run(2.0)
         two.is_dead = True
         record, _ = one.records.read()
-        self.assertEqual({one.life}, {o.life for o in record.owners.values()})
+        self.assertEqual(
+            {one.boot_id}, {o.boot_id for o in record.owners.values()}
+        )
 
     def test_claims_are_told_to_the_member_taken_for_dead(self) -> None:
         """A live holder wrongly taken for dead went on using its seats."""
@@ -294,8 +296,8 @@
         planes.store.items = {}
         planes.run(12.0)
         record, _ = one.records.read()
-        owners = {s: o.life for s, o in record.owners.items()}
-        expected = {s: p.life for p in (one, two) for s in p.held}
+        owners = {s: o.boot_id for s, o in record.owners.items()}
+        expected = {s: p.boot_id for p in (one, two) for s in p.held}
         self.assertEqual(expected, owners)
 
     def test_member_called_dead_that_answers_keeps_its_seats(self) -> None:
--- a/tests/runtime/test_ticketspread.py
+++ b/tests/runtime/test_ticketspread.py
@@ -69,7 +69,7 @@
         zone = name.partition("-")[0]
         identity = Identity(
             instance=name,
-            life=f"life-{name}-{self._steps}",
+            boot_id=f"life-{name}-{self._steps}",
             zone=zone,
             lookup=name,
             entry=name,
