--- a/chiverun/core/membership.py
+++ b/chiverun/core/membership.py
@@ -205,7 +205,7 @@
         _set_state(table, row, MemberState.SUSPECT, now)
 
 
-def forget_silence(table: MemberTable, now: float) -> None:
+def reset_failure_detection(table: MemberTable, now: float) -> None:
     """Begin anew to wait for answers after a pause of this process.
 
     The silence of others while this process could not hear them proves
--- a/chiverun/runtime/seatsystem.py
+++ b/chiverun/runtime/seatsystem.py
@@ -57,7 +57,7 @@
     if last is None or now - last <= PAUSE_LIMIT_S:
         return
     ctx.ticked_at = now
-    membership.forget_silence(ctx.members, now)
+    membership.reset_failure_detection(ctx.members, now)
     _LOG.warning(
         "seats suspended after a pause",
         extra={"pause_s": round(now - last, 3)},
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -73,7 +73,7 @@
         """A resumed process declared all its suspects dead at once."""
         table = _table("b")
         table.rows["b"].state = MemberState.SUSPECT
-        membership.forget_silence(table, 100.0)
+        membership.reset_failure_detection(table, 100.0)
         membership.expire(table, _ZONE, 100.5)
         self.assertIs(MemberState.SUSPECT, table.rows["b"].state)
 
