--- a/chiverun/core/routing.py
+++ b/chiverun/core/routing.py
@@ -124,7 +124,7 @@
     return targets
 
 
-def region_room(
+def region_free_slots(
     snapshot: "Snapshot", region: RegionName, service: "ServiceName"
 ) -> tuple[int, float]:
     """Return a region's free slots for a service and when measured."""
--- a/chiverun/runtime/shifting.py
+++ b/chiverun/runtime/shifting.py
@@ -6,7 +6,7 @@
 from chiverun.core.errors import ResultCode
 from chiverun.core.exchange import ExchangeEnd
 from chiverun.core.exchange import PeerRefused
-from chiverun.core.routing import region_room
+from chiverun.core.routing import region_free_slots
 from chiverun.core.routing import shift_targets
 from chiverun.core.routing import Target
 from chiverun.core.shift import active_shift
@@ -45,7 +45,7 @@
             return []
         with self._lock:
             progress = self._progress_of(shift)
-            room, measured_at = region_room(
+            room, measured_at = region_free_slots(
                 snapshot, shift.target, shift.service
             )
             measurement = Measurement(room=room, age_s=now - measured_at)
