--- a/chiverun/runtime/control.py
+++ b/chiverun/runtime/control.py
@@ -66,7 +66,7 @@
     def tick(self) -> None:
         """Run all systems once and publish a snapshot."""
         now = self.clock.monotonic()
-        seatsystem.run_pause(self, now)
+        seatsystem.suspend_after_pause(self, now)
         self.ticked_at = now
         membersystem.run_members(self, now)
         drainsystem.run_drains(self, now)
@@ -75,7 +75,7 @@
 
     def receive(self, message: Message) -> None:
         """Handle a message of a peer."""
-        seatsystem.run_pause(self, self.clock.monotonic())
+        seatsystem.suspend_after_pause(self, self.clock.monotonic())
         match message:
             case Ping(sequence=sequence, gossip=content):
                 gossip.merge(self, content)
@@ -107,7 +107,7 @@
 
     def handle(self, event: Event) -> None:
         """Handle a report of the store worker or an order of the instance."""
-        seatsystem.run_pause(self, self.clock.monotonic())
+        seatsystem.suspend_after_pause(self, self.clock.monotonic())
         match event:
             case SeatsClaimed():
                 seatsystem.on_claimed(self, event)
--- a/chiverun/runtime/seatsystem.py
+++ b/chiverun/runtime/seatsystem.py
@@ -47,7 +47,7 @@
 _LOG = logbook.Logger("control")
 
 
-def run_pause(ctx: "ControlContext", now: float) -> None:
+def suspend_after_pause(ctx: "ControlContext", now: float) -> None:
     """Suspend the seats if the last tick is too long ago.
 
     Runs before anything else is handled, so that nothing that happens
