--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -39,7 +39,7 @@
 from chiverun.runtime.execution import Attempt
 from chiverun.runtime.execution import backend_headers
 from chiverun.runtime.execution import epoch_ms
-from chiverun.runtime.execution import HedgeTerms
+from chiverun.runtime.execution import HedgeLimits
 from chiverun.runtime.forward import CLASS_HEADER
 from chiverun.runtime.forward import ORIGIN_HEADER
 from chiverun.runtime.forward import pace_reply
@@ -377,7 +377,7 @@
         work = request.work
         now = self._clock.monotonic()
         excluded = progress.excluded
-        hedge = HedgeTerms(
+        hedge = HedgeLimits(
             attempts_left=progress.attempts_left, budget=self._budget
         )
         for target in self._shifts.targets(snapshot, work, now):
--- a/chiverun/runtime/execution.py
+++ b/chiverun/runtime/execution.py
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class HedgeTerms:
+class HedgeLimits:
     """What a request's other hops leave for a second attempt."""
 
     attempts_left: int
@@ -103,7 +103,7 @@
         excluded: frozenset[ServerName],
         *,
         may_wait: bool,
-        hedge: HedgeTerms | None = None,
+        hedge: HedgeLimits | None = None,
     ) -> Attempt:
         """Run a request once; a refusal is an attempt that was not run.
 
@@ -148,7 +148,7 @@
         return self._admission.expected_wait_s(work)
 
     def _plan(
-        self, work: "Work", hedge: HedgeTerms | None
+        self, work: "Work", hedge: HedgeLimits | None
     ) -> HedgePlan | None:
         if hedge is None:
             return None
--- a/standins/measure_real.py
+++ b/standins/measure_real.py
@@ -46,7 +46,7 @@
 from chiverun.integrations.telemetry import Telemetry
 from chiverun.runtime.execution import Content
 from chiverun.runtime.execution import Executor
-from chiverun.runtime.execution import HedgeTerms
+from chiverun.runtime.execution import HedgeLimits
 
 SERVERS = 6
 SLOTS = 4
@@ -124,7 +124,7 @@
             ),
             frozenset(),
             may_wait=True,
-            hedge=HedgeTerms(attempts_left=2, budget=self._budget),
+            hedge=HedgeLimits(attempts_left=2, budget=self._budget),
         )
         return isinstance(attempt.end, Answered)
 
--- a/tests/runtime/test_hedging.py
+++ b/tests/runtime/test_hedging.py
@@ -19,7 +19,7 @@
 from chiverun.integrations.telemetry import Telemetry
 from chiverun.runtime.execution import Content
 from chiverun.runtime.execution import Executor
-from chiverun.runtime.execution import HedgeTerms
+from chiverun.runtime.execution import HedgeLimits
 from chiverun.runtime.hedging import HedgePool
 from standins import backend as standin
 from tests.core.zones import BOOK
@@ -93,7 +93,7 @@
             content,
             frozenset(),
             may_wait=False,
-            hedge=HedgeTerms(attempts_left=attempts_left, budget=self.budget),
+            hedge=HedgeLimits(attempts_left=attempts_left, budget=self.budget),
         )
 
     def events(self, name: str) -> list[str]:
