--- a/chiverun/core/tables.py
+++ b/chiverun/core/tables.py
@@ -216,7 +216,7 @@
     digest: int | None = None
     taken: dict[SeatIndex, int] = dataclasses.field(default_factory=dict)
     news: dict[SeatIndex, int] = dataclasses.field(default_factory=dict)
-    news_at: float = float("-inf")
+    gained_announced_at: float = float("-inf")
     uncovered_since: dict[SeatIndex, float] = dataclasses.field(
         default_factory=dict
     )
--- a/chiverun/runtime/seatsystem.py
+++ b/chiverun/runtime/seatsystem.py
@@ -113,9 +113,9 @@
     was wrongly taken for dead hears of it before they open.
     """
     seats = ctx.seats
-    if not seats.news or now - seats.news_at < _NEWS_PERIOD_S:
+    if not seats.news or now - seats.gained_announced_at < _NEWS_PERIOD_S:
         return
-    seats.news_at = now
+    seats.gained_announced_at = now
     marks = tuple(
         SeatHolderRecord(
             seat=s, epoch=seats.marks[s].epoch, boot_id=seats.marks[s].boot_id
