--- a/chiverun/core/links.py
+++ b/chiverun/core/links.py
@@ -103,7 +103,7 @@
         if zone is None:
             return
         now = self._clock.monotonic()
-        seats = [s.index for s in snapshot.seats if s.short_from <= now]
+        seats = [s.index for s in snapshot.seats if s.short_opens_at <= now]
         portions = {
             link.target: held_portion(
                 state,
--- a/chiverun/core/seats.py
+++ b/chiverun/core/seats.py
@@ -296,7 +296,7 @@
     until = now + max(short_s, long_s) + CLOCK_MARGIN_S
     if is_reseated:
         for held in table.held.values():
-            held.short_from = max(held.short_from, until)
+            held.short_opens_at = max(held.short_opens_at, until)
             held.long_from = max(held.long_from, until)
     if (
         is_relaid
@@ -342,23 +342,23 @@
     """Return the held seat, opening when no earlier work can still run."""
     old_classes = [o for o in table.old_classes if o.until > now]
     if not claim.was_used and not any(o.is_reseated for o in old_classes):
-        return Held(epoch=claim.epoch, short_from=now, long_from=now)
+        return Held(epoch=claim.epoch, short_opens_at=now, long_from=now)
     short_s = longest_deadline_s(state, Length.SHORT)
     long_s = longest_deadline_s(state, Length.LONG)
     for old in old_classes:
         long_s = max(long_s, old.long_s)
         short_s = max(short_s, long_s if old.is_relaid else old.short_s)
     margin_s = CLOCK_MARGIN_S + NEWS_MARGIN_S
-    short_from = now + max(short_s + margin_s, SHIFT_WINDOW_S)
+    short_opens_at = now + max(short_s + margin_s, SHIFT_WINDOW_S)
     return Held(
         epoch=claim.epoch,
-        short_from=short_from,
-        long_from=max(short_from, now + long_s + margin_s),
+        short_opens_at=short_opens_at,
+        long_from=max(short_opens_at, now + long_s + margin_s),
     )
 
 
 def held_after_transfer(
-    epoch: int, now: float, short_from: float, long_from: float
+    epoch: int, now: float, short_opens_at: float, long_from: float
 ) -> Held:
     """Return a seat handed over by its idle holder.
 
@@ -369,7 +369,7 @@
     opens_at = now + SHIFT_WINDOW_S
     return Held(
         epoch=epoch,
-        short_from=max(opens_at, short_from),
+        short_opens_at=max(opens_at, short_opens_at),
         long_from=max(opens_at, long_from),
     )
 
--- a/chiverun/core/shiftcaps.py
+++ b/chiverun/core/shiftcaps.py
@@ -84,7 +84,7 @@
             name,
             shift.cap_per_s,
             self._zone,
-            [s.index for s in snapshot.seats if now >= s.short_from],
+            [s.index for s in snapshot.seats if now >= s.short_opens_at],
         )
         limiter = self._limits.setdefault(
             name, WindowLimiter(cap=cap, window_s=SHIFT_WINDOW_S)
--- a/chiverun/core/snapshot.py
+++ b/chiverun/core/snapshot.py
@@ -51,13 +51,13 @@
 class HeldSeat:
     """A seat this instance holds.
 
-    Its short-class slots open at `short_from` and its long-class slots at
+    Its short-class slots open at `short_opens_at` and its long-class slots at
     `long_from` (monotonic seconds), when no work of an earlier holder can
     still be running.
     """
 
     index: SeatIndex
-    short_from: float
+    short_opens_at: float
     long_from: float
 
 
--- a/chiverun/core/tables.py
+++ b/chiverun/core/tables.py
@@ -125,7 +125,7 @@
     """A seat this instance holds; slots open at the given times."""
 
     epoch: int
-    short_from: float
+    short_opens_at: float
     long_from: float
 
 
@@ -138,7 +138,7 @@
     """
 
     epoch: int
-    short_from: float
+    short_opens_at: float
     long_from: float
     receiver: InstanceId | None
     is_published: bool = False
@@ -149,7 +149,7 @@
     """A seat handed over, until the receiver is seen to hold it."""
 
     epoch: int
-    short_from: float
+    short_opens_at: float
     long_from: float
     receiver: InstanceId
     boot_id: BootId
--- a/chiverun/runtime/publishing.py
+++ b/chiverun/runtime/publishing.py
@@ -41,7 +41,7 @@
         seats=tuple(
             HeldSeat(
                 index=seat,
-                short_from=held.short_from,
+                short_opens_at=held.short_opens_at,
                 long_from=held.long_from,
             )
             for seat, held in sorted(ctx.seats.held.items())
--- a/chiverun/runtime/seattransfer.py
+++ b/chiverun/runtime/seattransfer.py
@@ -82,7 +82,7 @@
     held = ctx.seats.held.pop(seat)
     ctx.seats.releasing[seat] = Releasing(
         epoch=held.epoch,
-        short_from=held.short_from,
+        short_opens_at=held.short_opens_at,
         long_from=held.long_from,
         receiver=receiver,
     )
@@ -127,7 +127,7 @@
         else:
             ctx.seats.held[seat] = Held(
                 epoch=releasing.epoch,
-                short_from=releasing.short_from,
+                short_opens_at=releasing.short_opens_at,
                 long_from=releasing.long_from,
             )
     queue_write(ctx, owners, released)
@@ -147,7 +147,7 @@
     epoch = releasing.epoch + 1
     ctx.seats.transfers[seat] = Transfer(
         epoch=epoch,
-        short_from=releasing.short_from,
+        short_opens_at=releasing.short_opens_at,
         long_from=releasing.long_from,
         receiver=row.instance,
         boot_id=row.boot_id,
@@ -181,7 +181,7 @@
         instance=transfer.receiver,
         boot_id=transfer.boot_id,
         previous_holder=ctx.identity.peer,
-        short_ms=_left_ms(transfer.short_from, now),
+        short_ms=_left_ms(transfer.short_opens_at, now),
         long_ms=_left_ms(transfer.long_from, now),
         sent_epoch_ms=int(ctx.clock.wall() * 1000),
     )
--- a/chiverun/runtime/status.py
+++ b/chiverun/runtime/status.py
@@ -83,7 +83,7 @@
         fork=plane.fork,
         store_fault=sources.watch.fault,
         seats=sorted(held),
-        seats_open=sum(1 for h in held.values() if h.short_from <= now),
+        seats_open=sum(1 for h in held.values() if h.short_opens_at <= now),
         room=dict(sources.admission.room()),
         in_flight=sources.admission.in_flight(),
         links={t: round(f, 3) for t, f in sources.links.headroom().items()},
--- a/tests/core/cap_states.py
+++ b/tests/core/cap_states.py
@@ -90,7 +90,7 @@
         "seats": tuple(
             HeldSeat(
                 index=s,
-                short_from=opens.get(s, now),
+                short_opens_at=opens.get(s, now),
                 long_from=opens.get(s, now),
             )
             for s in seats
--- a/tests/core/test_shift_cap.py
+++ b/tests/core/test_shift_cap.py
@@ -65,7 +65,7 @@
         now = self.clock.monotonic()
         self.seats[seat] = receiver
         held = held_after_transfer(1, now, now, now)
-        self.opens[seat] = now if self._opens_at_once else held.short_from
+        self.opens[seat] = now if self._opens_at_once else held.short_opens_at
 
     def restart(self, index: int) -> None:
         """Replace an instance's process: its window is forgotten."""
--- a/tests/runtime/test_seatsystem.py
+++ b/tests/runtime/test_seatsystem.py
@@ -348,7 +348,7 @@
         changed_at = planes.clock.monotonic()
         self.assertTrue(planes.run_until(lambda: len(one.held) == 6, 30))
         for seat in gone:
-            opens = one.plane.seats.held[seat].short_from
+            opens = one.plane.seats.held[seat].short_opens_at
             self.assertGreaterEqual(opens, changed_at + least_s)
 
     # Liveness.
