--- a/chiverun/core/seats.py
+++ b/chiverun/core/seats.py
@@ -297,7 +297,7 @@
     if is_reseated:
         for held in table.held.values():
             held.short_opens_at = max(held.short_opens_at, until)
-            held.long_from = max(held.long_from, until)
+            held.long_opens_at = max(held.long_opens_at, until)
     if (
         is_relaid
         or is_reseated
@@ -342,7 +342,7 @@
     """Return the held seat, opening when no earlier work can still run."""
     old_classes = [o for o in table.old_classes if o.until > now]
     if not claim.was_used and not any(o.is_reseated for o in old_classes):
-        return Held(epoch=claim.epoch, short_opens_at=now, long_from=now)
+        return Held(epoch=claim.epoch, short_opens_at=now, long_opens_at=now)
     short_s = longest_deadline_s(state, Length.SHORT)
     long_s = longest_deadline_s(state, Length.LONG)
     for old in old_classes:
@@ -353,12 +353,12 @@
     return Held(
         epoch=claim.epoch,
         short_opens_at=short_opens_at,
-        long_from=max(short_opens_at, now + long_s + margin_s),
+        long_opens_at=max(short_opens_at, now + long_s + margin_s),
     )
 
 
 def held_after_transfer(
-    epoch: int, now: float, short_opens_at: float, long_from: float
+    epoch: int, now: float, short_opens_at: float, long_opens_at: float
 ) -> Held:
     """Return a seat handed over by its idle holder.
 
@@ -370,7 +370,7 @@
     return Held(
         epoch=epoch,
         short_opens_at=max(opens_at, short_opens_at),
-        long_from=max(opens_at, long_from),
+        long_opens_at=max(opens_at, long_opens_at),
     )
 
 
--- a/chiverun/core/slots.py
+++ b/chiverun/core/slots.py
@@ -230,7 +230,7 @@
             index=index,
             seat=seat.index,
             is_long=is_long,
-            opens_at=seat.long_from if is_long else seat.short_opens_at,
+            opens_at=seat.long_opens_at if is_long else seat.short_opens_at,
         )
         self._layout[slot.key] = slot
         row.mine += 1
@@ -284,7 +284,7 @@
             self._portions = {
                 seat.index: (
                     seat_portion(name, cap, first + seat.index, total),
-                    max(seat.short_opens_at, seat.long_from),
+                    max(seat.short_opens_at, seat.long_opens_at),
                 )
                 for seat in held
             }
--- a/chiverun/core/snapshot.py
+++ b/chiverun/core/snapshot.py
@@ -52,13 +52,13 @@
     """A seat this instance holds.
 
     Its short-class slots open at `short_opens_at` and its long-class slots at
-    `long_from` (monotonic seconds), when no work of an earlier holder can
+    `long_opens_at` (monotonic seconds), when no work of an earlier holder can
     still be running.
     """
 
     index: SeatIndex
     short_opens_at: float
-    long_from: float
+    long_opens_at: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/chiverun/core/tables.py
+++ b/chiverun/core/tables.py
@@ -126,7 +126,7 @@
 
     epoch: int
     short_opens_at: float
-    long_from: float
+    long_opens_at: float
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -139,7 +139,7 @@
 
     epoch: int
     short_opens_at: float
-    long_from: float
+    long_opens_at: float
     receiver: InstanceId | None
     is_published: bool = False
 
@@ -150,7 +150,7 @@
 
     epoch: int
     short_opens_at: float
-    long_from: float
+    long_opens_at: float
     receiver: InstanceId
     boot_id: BootId
     sent_at: float = float("-inf")
--- a/chiverun/runtime/publishing.py
+++ b/chiverun/runtime/publishing.py
@@ -42,7 +42,7 @@
             HeldSeat(
                 index=seat,
                 short_opens_at=held.short_opens_at,
-                long_from=held.long_from,
+                long_opens_at=held.long_opens_at,
             )
             for seat, held in sorted(ctx.seats.held.items())
         ),
--- a/chiverun/runtime/seattransfer.py
+++ b/chiverun/runtime/seattransfer.py
@@ -83,7 +83,7 @@
     ctx.seats.releasing[seat] = Releasing(
         epoch=held.epoch,
         short_opens_at=held.short_opens_at,
-        long_from=held.long_from,
+        long_opens_at=held.long_opens_at,
         receiver=receiver,
     )
 
@@ -128,7 +128,7 @@
             ctx.seats.held[seat] = Held(
                 epoch=releasing.epoch,
                 short_opens_at=releasing.short_opens_at,
-                long_from=releasing.long_from,
+                long_opens_at=releasing.long_opens_at,
             )
     queue_write(ctx, owners, released)
 
@@ -148,7 +148,7 @@
     ctx.seats.transfers[seat] = Transfer(
         epoch=epoch,
         short_opens_at=releasing.short_opens_at,
-        long_from=releasing.long_from,
+        long_opens_at=releasing.long_opens_at,
         receiver=row.instance,
         boot_id=row.boot_id,
     )
@@ -182,7 +182,7 @@
         boot_id=transfer.boot_id,
         previous_holder=ctx.identity.peer,
         short_ms=_left_ms(transfer.short_opens_at, now),
-        long_ms=_left_ms(transfer.long_from, now),
+        long_ms=_left_ms(transfer.long_opens_at, now),
         sent_epoch_ms=int(ctx.clock.wall() * 1000),
     )
 
--- a/standins/load_model.py
+++ b/standins/load_model.py
@@ -329,7 +329,7 @@
             zone=info.zone, clock=self._clock, rng=self._choice_rng
         )
         self._seats = tuple(
-            HeldSeat(index=i, short_opens_at=0.0, long_from=0.0)
+            HeldSeat(index=i, short_opens_at=0.0, long_opens_at=0.0)
             for i in range(SEATS)
             if i % count == number
         )
--- a/standins/measure_load.py
+++ b/standins/measure_load.py
@@ -217,7 +217,7 @@
         published_at=ManualClock().monotonic(),
         zones={},
         seats=tuple(
-            HeldSeat(index=i, short_opens_at=0.0, long_from=0.0)
+            HeldSeat(index=i, short_opens_at=0.0, long_opens_at=0.0)
             for i in range(4)
         ),
         confirmed=True,
--- a/standins/measure_real.py
+++ b/standins/measure_real.py
@@ -74,7 +74,8 @@
         self.clock = SystemClock()
         self._state = state
         self._seats = tuple(
-            HeldSeat(index=i, short_opens_at=0.0, long_from=0.0) for i in seats
+            HeldSeat(index=i, short_opens_at=0.0, long_opens_at=0.0)
+            for i in seats
         )
         self.admission = Admission(
             zone="z", clock=self.clock, rng=random.Random(seed)
--- a/tests/core/cap_states.py
+++ b/tests/core/cap_states.py
@@ -91,7 +91,7 @@
             HeldSeat(
                 index=s,
                 short_opens_at=opens.get(s, now),
-                long_from=opens.get(s, now),
+                long_opens_at=opens.get(s, now),
             )
             for s in seats
         ),
--- a/tests/core/test_seats.py
+++ b/tests/core/test_seats.py
@@ -127,7 +127,7 @@
         for epoch, boot_id in reversed(marks):
             record_holder(two, 0, SeatHolder(epoch, boot_id))
         self.assertEqual(holders_digest(one), holders_digest(two))
-        one.held[0] = Held(epoch=5, short_opens_at=0.0, long_from=0.0)
+        one.held[0] = Held(epoch=5, short_opens_at=0.0, long_opens_at=0.0)
         self.assertEqual({0}, lost_seats(one, "x"))
         self.assertEqual(set(), lost_seats(one, "y"))
         stale = SeatHolderRecord(seat=0, epoch=5, boot_id="x")
@@ -190,14 +190,14 @@
         claim = Claim(seat=0, epoch=5, was_used=True)
         held = held_after_claim(table, new, claim, 100.5)
         self.assertGreaterEqual(held.short_opens_at, 100.5 + least, name)
-        self.assertGreaterEqual(held.long_from, 106.0, name)
+        self.assertGreaterEqual(held.long_opens_at, 106.0, name)
         late = held_after_claim(table, new, claim, 200.0)
         self.assertLess(late.short_opens_at, 204.0, name)
 
     def test_work_under_another_number_of_seats(self) -> None:
         """Slots moved to seats of other holders while work still ran."""
         table, old, new = SeatTable(), make_state(), make_state(seats=8)
-        table.held[0] = Held(epoch=1, short_opens_at=0.0, long_from=0.0)
+        table.held[0] = Held(epoch=1, short_opens_at=0.0, long_opens_at=0.0)
         note_old_classes(table, old, new, ZONE, 100.0)
         claim = Claim(seat=7, epoch=1, was_used=False)
         for held in (
--- a/tests/core/zones.py
+++ b/tests/core/zones.py
@@ -73,7 +73,7 @@
 def seats(*indexes: int, opens_at: float = 0.0) -> tuple[HeldSeat, ...]:
     """Return held seats; all four if no index is given."""
     return tuple(
-        HeldSeat(index=i, short_opens_at=opens_at, long_from=opens_at)
+        HeldSeat(index=i, short_opens_at=opens_at, long_opens_at=opens_at)
         for i in indexes or range(4)
     )
 
--- a/tests/runtime/test_drains.py
+++ b/tests/runtime/test_drains.py
@@ -80,7 +80,7 @@
         now = self.clock.monotonic()
         for seat in range(cap_states.SEATS):
             self.plane.seats.held[seat] = Held(
-                epoch=1, short_opens_at=now, long_from=now
+                epoch=1, short_opens_at=now, long_opens_at=now
             )
         self.plane.tick()
         self.sent.clear()
--- a/tests/runtime/test_seat_safety.py
+++ b/tests/runtime/test_seat_safety.py
@@ -48,7 +48,7 @@
         names = sorted({self.identity.instance, *(m.instance for m in rows)})
         rank = names.index(self.identity.instance)
         self.seats.held = {
-            seat: Held(epoch=1, short_opens_at=now, long_from=now)
+            seat: Held(epoch=1, short_opens_at=now, long_opens_at=now)
             for seat in range(_SEATS)
             if seat % len(names) == rank
         }
--- a/tests/runtime/test_seatsystem.py
+++ b/tests/runtime/test_seatsystem.py
@@ -108,11 +108,11 @@
         self.assertTrue(
             planes.run_until(lambda: len(one.held) == 6, limit_s=30)
         )
-        opens = {s: h.long_from for s, h in one.plane.seats.held.items()}
+        opens = {s: h.long_opens_at for s, h in one.plane.seats.held.items()}
         three = planes.start(9)
         planes.run_until(lambda: len(three.held) == 3, limit_s=30)
         for got, held in three.plane.seats.held.items():
-            self.assertGreaterEqual(held.long_from, opens[got])
+            self.assertGreaterEqual(held.long_opens_at, opens[got])
 
     def test_transfer_before_the_state_is_known(self) -> None:
         """A seat sent to an instance without a state was lost."""
@@ -154,7 +154,7 @@
         one.plane.receive(message)
         self.assertEqual(is_taken, seat in one.held)
         if is_taken:
-            opens = one.plane.seats.held[seat].long_from
+            opens = one.plane.seats.held[seat].long_opens_at
             self.assertGreaterEqual(opens, planes.clock.monotonic() + 5)
 
     def test_lost_transfer_is_taken_back(self) -> None:
