--- a/chiverun/core/limits.py
+++ b/chiverun/core/limits.py
@@ -20,7 +20,7 @@
         self.window_s = window_s
         self._times: collections.deque[float] = collections.deque()
 
-    def try_take(self, now: float) -> bool:
+    def try_consume(self, now: float) -> bool:
         """Admit one unit at `now` if the window has room."""
         self._expire(now)
         if len(self._times) >= self.cap:
--- a/chiverun/core/sendbudget.py
+++ b/chiverun/core/sendbudget.py
@@ -44,7 +44,7 @@
         self._requests.append(now)
         self._expire(now)
 
-    def try_take(self, now: float, machines: int) -> bool:
+    def try_consume(self, now: float, machines: int) -> bool:
         """Take one further send if this machine's part has room."""
         self._expire(now)
         allowed = BUDGET_PART * (
@@ -75,7 +75,7 @@
         self._machine = machine
         self._limiter = WindowLimiter(cap=0, window_s=COLD_WINDOW_S)
 
-    def try_take(
+    def try_consume(
         self, now: float, per_s: float, machines: collections.abc.Collection
     ) -> bool:
         """Admit one send.
@@ -98,4 +98,4 @@
                 machines, key=lambda name: unit_hash(f"{self._server}\0{name}")
             )
             self._limiter.cap = int(self._machine in ranked[:sends])
-        return self._limiter.try_take(now)
+        return self._limiter.try_consume(now)
--- a/chiverun/core/shiftcaps.py
+++ b/chiverun/core/shiftcaps.py
@@ -90,7 +90,7 @@
             name, WindowLimiter(cap=cap, window_s=SHIFT_WINDOW_S)
         )
         limiter.cap = cap
-        if not limiter.try_take(now):
+        if not limiter.try_consume(now):
             raise refusal(
                 ResultCode.SHIFT_CAP,
                 work,
--- a/chiverun/runtime/selection.py
+++ b/chiverun/runtime/selection.py
@@ -253,7 +253,7 @@
             spec.cold_per_s * self._bounds.cold_excess
             + self._bounds.cold_extra
         )
-        return row.cold.try_take(now, per_s, self._machines())
+        return row.cold.try_consume(now, per_s, self._machines())
 
 
 def _is_open(row: ServerRow, place: Placement, now: float) -> bool:
--- a/chiverun/runtime/steering.py
+++ b/chiverun/runtime/steering.py
@@ -240,7 +240,7 @@
                 request.overload_s = wait_s
                 self._metrics.overload_refused.add(1)
                 return False
-        if request.sends and not self._budget(request.service).try_take(
+        if request.sends and not self._budget(request.service).try_consume(
             now, len(self._machines())
         ):
             self._metrics.budget_refused.add(1)
--- a/tests/core/test_limits.py
+++ b/tests/core/test_limits.py
@@ -132,7 +132,7 @@
         for gap in gaps:
             now += gap
             expected = sum(1 for t in taken if t > now - 1.0) < cap
-            self.assertEqual(expected, limiter.try_take(now))
+            self.assertEqual(expected, limiter.try_consume(now))
             if expected:
                 taken.append(now)
 
--- a/tests/core/test_sendbudget.py
+++ b/tests/core/test_sendbudget.py
@@ -25,7 +25,7 @@
             budget = rng.choice(budgets)
             budget.note_request(now)
             requests.append(now)
-            while budget.try_take(now, machines):
+            while budget.try_consume(now, machines):
                 further.append(now)
         for end in range(10, 30):
             in_window = [t for t in further if end - 10 < t <= end]
@@ -34,7 +34,7 @@
 
     def test_a_partition_does_not_raise_the_part(self) -> None:
         budget = SendBudget(bounds=_BOUNDS)
-        taken = sum(budget.try_take(1.0, 8) for _ in range(100))
+        taken = sum(budget.try_consume(1.0, 8) for _ in range(100))
         self.assertLessEqual(taken, 56 // 8)
 
 
@@ -49,7 +49,7 @@
         for tick in range(500):
             now = tick * 0.01
             for limit in limits:
-                if limit.try_take(now, per_s, names):
+                if limit.try_consume(now, per_s, names):
                     sent.append(now)
         for start in range(0, 400):
             since = start * 0.01
--- a/tests/core/test_shift_cap.py
+++ b/tests/core/test_shift_cap.py
@@ -29,7 +29,7 @@
         self._tokens = float(cap)
         self._at = 0.0
 
-    def try_take(self, now: float) -> bool:
+    def try_consume(self, now: float) -> bool:
         grown = self._tokens + (now - self._at) * self.cap
         self._tokens, self._at = min(float(self.cap), grown), now
         if self._tokens < 1.0:
@@ -139,7 +139,7 @@
     def test_burst_on_top_of_the_rate(self, limiter, over):
         """A token bucket admits its burst and its rate in one second."""
         one = limiter(cap=10, window_s=SHIFT_WINDOW_S)
-        times = [i * 0.01 for i in range(300) if one.try_take(i * 0.01)]
+        times = [i * 0.01 for i in range(300) if one.try_consume(i * 0.01)]
         self.assertEqual(over > 0, count_over(times, 10) >= max(1, over))
 
     def test_renamed_shift_keeps_its_window(self):
