--- a/chiverun/core/shift.py
+++ b/chiverun/core/shift.py
@@ -157,7 +157,7 @@
     return usable[:TARGETS_PER_REQUEST]
 
 
-def note_refused(
+def record_refusal(
     progress: ShiftProgress, target: "Target", now: float
 ) -> None:
     """Leave out an instance that is at its portion of the cap.
--- a/chiverun/runtime/shifting.py
+++ b/chiverun/runtime/shifting.py
@@ -14,7 +14,7 @@
 from chiverun.core.shift import grow
 from chiverun.core.shift import is_same_move
 from chiverun.core.shift import Measurement
-from chiverun.core.shift import note_refused
+from chiverun.core.shift import record_refusal
 from chiverun.core.shift import select_targets
 from chiverun.core.shift import ShiftProgress
 from chiverun.core.shift import take
@@ -69,7 +69,7 @@
         if shift is None:
             return
         with self._lock:
-            note_refused(
+            record_refusal(
                 self._progress_of(shift), target, self._clock.monotonic()
             )
 
--- a/tests/core/test_shift.py
+++ b/tests/core/test_shift.py
@@ -13,7 +13,7 @@
 from chiverun.core.shift import followed_by
 from chiverun.core.shift import grow
 from chiverun.core.shift import Measurement
-from chiverun.core.shift import note_refused
+from chiverun.core.shift import record_refusal
 from chiverun.core.shift import select_targets
 from chiverun.core.shift import ShiftProgress
 from chiverun.core.shift import take
@@ -129,7 +129,7 @@
         progress = ShiftProgress(shift=shift)
         targets = _targets(shift)
         for target in targets:
-            note_refused(progress, target, 10.0)
+            record_refusal(progress, target, 10.0)
         self.assertEqual([], select_targets(progress, targets, 10.1))
         later = select_targets(progress, targets, 10.0 + 1.25)
         self.assertEqual(2, len(later))
