--- a/chiverun/core/shift.py
+++ b/chiverun/core/shift.py
@@ -68,7 +68,7 @@
     return cap_name(first) == cap_name(second)
 
 
-def followed_by(progress: ShiftProgress, shift: Shift) -> ShiftProgress:
+def with_shift(progress: ShiftProgress, shift: Shift) -> ShiftProgress:
     """Return the progress of a changed shift.
 
     The reached fraction is kept, up to the new one: traffic does not fall
--- a/chiverun/runtime/shifting.py
+++ b/chiverun/runtime/shifting.py
@@ -10,7 +10,6 @@
 from chiverun.core.routing import shift_targets
 from chiverun.core.routing import Target
 from chiverun.core.shift import active_shift
-from chiverun.core.shift import followed_by
 from chiverun.core.shift import grow
 from chiverun.core.shift import is_same_move
 from chiverun.core.shift import Measurement
@@ -18,6 +17,7 @@
 from chiverun.core.shift import select_targets
 from chiverun.core.shift import ShiftProgress
 from chiverun.core.shift import take
+from chiverun.core.shift import with_shift
 from chiverun.core.ticket import Shift
 from chiverun.core.work import Work
 
@@ -78,6 +78,6 @@
         if progress is None or not is_same_move(progress.shift, shift):
             progress = ShiftProgress(shift=shift)
         elif progress.shift != shift:
-            progress = followed_by(progress, shift)
+            progress = with_shift(progress, shift)
         self._progress[shift.name] = progress
         return progress
--- a/tests/core/test_shift.py
+++ b/tests/core/test_shift.py
@@ -10,13 +10,13 @@
 from chiverun.core.portions import held_portion
 from chiverun.core.routing import shift_targets
 from chiverun.core.shift import cap_name
-from chiverun.core.shift import followed_by
 from chiverun.core.shift import grow
 from chiverun.core.shift import Measurement
 from chiverun.core.shift import record_refusal
 from chiverun.core.shift import select_targets
 from chiverun.core.shift import ShiftProgress
 from chiverun.core.shift import take
+from chiverun.core.shift import with_shift
 from tests.core import cap_states
 
 _FRESH = Measurement(room=3, age_s=0.5)
@@ -81,7 +81,7 @@
     def test_changed_shift_keeps_its_fraction(self, goal, expected):
         """A change of cap must not move traffic back at once."""
         progress = ShiftProgress(shift=cap_states.shift(), fraction=0.4)
-        changed = followed_by(progress, cap_states.shift(fraction=goal))
+        changed = with_shift(progress, cap_states.shift(fraction=goal))
         self.assertEqual(expected, changed.fraction)
 
     @settings(max_examples=100, derandomize=True, deadline=None)
