--- a/chiverun/core/seats.py
+++ b/chiverun/core/seats.py
@@ -274,7 +274,7 @@
     return max(deadlines, default=0) / 1000.0
 
 
-def note_old_classes(
+def keep_old_deadlines(
     table: SeatTable,
     old: "State",
     new: "State",
--- a/chiverun/runtime/ticketspread.py
+++ b/chiverun/runtime/ticketspread.py
@@ -113,7 +113,7 @@
     now = ctx.clock.monotonic()
     # Raised again by the next exchange if the other history is still met.
     ctx.fork = None
-    seat_rules.note_old_classes(
+    seat_rules.keep_old_deadlines(
         ctx.seats, before, ctx.state, ctx.identity.zone, now
     )
     ctx.in_force_at = now
--- a/tests/core/test_seats.py
+++ b/tests/core/test_seats.py
@@ -12,9 +12,9 @@
 from chiverun.core.seats import ended_lives
 from chiverun.core.seats import held_after_claim
 from chiverun.core.seats import holders_digest
+from chiverun.core.seats import keep_old_deadlines
 from chiverun.core.seats import lost_seats
 from chiverun.core.seats import newer_holders
-from chiverun.core.seats import note_old_classes
 from chiverun.core.seats import OLD_CLASSES_MAX
 from chiverun.core.seats import record_holder
 from chiverun.core.seats import SeatRecord
@@ -186,7 +186,7 @@
         """Slots opened while work under an earlier ticket still ran."""
         table, old = SeatTable(), make_state()
         new = make_state(**fields)
-        note_old_classes(table, old, new, ZONE, 100.0)
+        keep_old_deadlines(table, old, new, ZONE, 100.0)
         claim = Claim(seat=0, epoch=5, was_used=True)
         held = held_after_claim(table, new, claim, 100.5)
         self.assertGreaterEqual(held.short_opens_at, 100.5 + least, name)
@@ -198,7 +198,7 @@
         """Slots moved to seats of other holders while work still ran."""
         table, old, new = SeatTable(), make_state(), make_state(seats=8)
         table.held[0] = Held(epoch=1, short_opens_at=0.0, long_opens_at=0.0)
-        note_old_classes(table, old, new, ZONE, 100.0)
+        keep_old_deadlines(table, old, new, ZONE, 100.0)
         claim = Claim(seat=7, epoch=1, was_used=False)
         for held in (
             table.held[0],
@@ -213,5 +213,5 @@
         for number in range(2 * OLD_CLASSES_MAX):
             old = make_state(long_slots=number % 2)
             new = make_state(long_slots=1 - number % 2)
-            note_old_classes(table, old, new, ZONE, 100.0)
+            keep_old_deadlines(table, old, new, ZONE, 100.0)
         self.assertEqual(OLD_CLASSES_MAX, len(table.old_classes))
