--- a/chiverun/integrations/asyncclient.py
+++ b/chiverun/integrations/asyncclient.py
@@ -33,7 +33,7 @@
 class OutgoingRequest:
     """A request with its complete body.
 
-    `is_mine` tells from the headers of a response whether it belongs to
+    `matches_request` returns whether a response with these headers belongs to
     this request.
     """
 
@@ -41,7 +41,7 @@
     target: bytes
     headers: Headers
     body: bytes
-    is_mine: Callable[[list[tuple[str, str]]], bool]
+    matches_request: Callable[[list[tuple[str, str]]], bool]
 
 
 class ClientConnection(asyncio.Protocol):
@@ -186,7 +186,7 @@
             (name.decode("latin-1"), value.decode("latin-1"))
             for name, value in response.headers.raw_items()
         ]
-        if not self._request.is_mine(headers):
+        if not self._request.matches_request(headers):
             return self._skip()
         if self._http.their_state is not h11.DONE:
             self.reusable = False
--- a/chiverun/platform/store.py
+++ b/chiverun/platform/store.py
@@ -143,7 +143,7 @@
                 target=path.encode(),
                 headers=headers,
                 body=body.encode(),
-                is_mine=lambda headers: True,
+                matches_request=lambda headers: True,
             ),
             self._timeout_s + wait_s,
         )
--- a/chiverun/runtime/sending.py
+++ b/chiverun/runtime/sending.py
@@ -184,7 +184,7 @@
                 for name, value in headers
             ],
             body=request.body,
-            is_mine=lambda rows: self._matches_request(rows, facts),
+            matches_request=lambda rows: self._matches_request(rows, facts),
         )
 
     def _matches_request(
--- a/standins/soak/clients.py
+++ b/standins/soak/clients.py
@@ -101,5 +101,5 @@
         target=b"/read/x" if repeatable else b"/book/x",
         headers=headers,
         body=b"" if repeatable else b"go",
-        is_mine=lambda rows: True,
+        matches_request=lambda rows: True,
     )
--- a/tests/integrations/test_asyncclient.py
+++ b/tests/integrations/test_asyncclient.py
@@ -125,7 +125,7 @@
             target=b"/a",
             headers=[(b"Host", b"x")],
             body=b"",
-            is_mine=lambda rows: ("Id", "mine") in rows,
+            matches_request=lambda rows: ("Id", "mine") in rows,
         )
         return await connection.exchange(request, timeout_s)
 
