--- a/chiverun/core/retries.py
+++ b/chiverun/core/retries.py
@@ -59,7 +59,7 @@
     repeatable: bool,
     attempts_left: int,
     delay_s: float | None,
-    left_s: float,
+    remaining_s: float,
 ) -> HedgePlan | None:
     """Decide whether a request may be hedged.
 
@@ -78,7 +78,7 @@
         return None
     delay_s = max(HEDGE_MIN_S, delay_s)
     # A hedge that has less time than the class usually needs is wasted.
-    if 2.0 * delay_s > left_s:
+    if 2.0 * delay_s > remaining_s:
         return None
     return HedgePlan(delay_s=delay_s)
 
--- a/standins/load_model.py
+++ b/standins/load_model.py
@@ -524,7 +524,7 @@
             repeatable=request.request_class.repeatable,
             attempts_left=request.request_class.attempts,
             delay_s=self.admission.hedge_delay_s(grant.work),
-            left_s=request.deadline - self._clock.monotonic(),
+            remaining_s=request.deadline - self._clock.monotonic(),
         )
         if plan is None:
             return
