--- a/chiverun/runtime/control.py
+++ b/chiverun/runtime/control.py
@@ -32,11 +32,11 @@
 from chiverun.runtime import ticketspread
 from chiverun.runtime.context import ControlContext
 from chiverun.runtime.context import Identity
+from chiverun.runtime.events import BeginStop
 from chiverun.runtime.events import EntriesRead
 from chiverun.runtime.events import Event
 from chiverun.runtime.events import HandOver
 from chiverun.runtime.events import HeadForked
-from chiverun.runtime.events import Leave
 from chiverun.runtime.events import SeatsClaimed
 from chiverun.runtime.events import SeatsRead
 from chiverun.runtime.events import SeatsWritten
@@ -45,11 +45,11 @@
 
 __all__ = [
     "TICK_S",
+    "BeginStop",
     "ControlPlane",
     "Event",
     "HandOver",
     "Identity",
-    "Leave",
     "ServersLeaving",
 ]
 
@@ -123,7 +123,7 @@
                 ticketspread.adopt_state(self, state)
             case ServersLeaving(servers=servers):
                 drainsystem.note_drains(self, servers, self.clock.monotonic())
-            case Leave():
+            case BeginStop():
                 self.is_leaving = True
                 publishing.publish(self, self.clock.monotonic())
                 gossip.ping_zone(self)
--- a/chiverun/runtime/events.py
+++ b/chiverun/runtime/events.py
@@ -99,7 +99,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Leave:
+class BeginStop:
     """The instance begins to stop: it leaves look-up answers."""
 
 
@@ -116,4 +116,4 @@
     | StateRead
     | HeadForked
 )
-Event = StoreReport | ServersLeaving | Leave | HandOver
+Event = StoreReport | ServersLeaving | BeginStop | HandOver
--- a/chiverun/runtime/instance.py
+++ b/chiverun/runtime/instance.py
@@ -32,11 +32,11 @@
 from chiverun.integrations.store import HttpStore
 from chiverun.integrations.telemetry import Telemetry
 from chiverun.integrations.web import WebServer
+from chiverun.runtime.control import BeginStop
 from chiverun.runtime.control import ControlPlane
 from chiverun.runtime.control import Event
 from chiverun.runtime.control import HandOver
 from chiverun.runtime.control import Identity
-from chiverun.runtime.control import Leave
 from chiverun.runtime.control import TICK_S
 from chiverun.runtime.entry import EntryHandler
 from chiverun.runtime.events import StoreJob
@@ -314,7 +314,7 @@
         """Tell peers repeatedly, since a message may be lost."""
         until = self._clock.monotonic() + seconds
         while self._clock.monotonic() < until:
-            self._tell(Leave())
+            self._tell(BeginStop())
             time.sleep(LEAVE_TELL_PERIOD_S)
 
     def _finish_s(self) -> float:
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -7,8 +7,8 @@
 
 from chiverun.core.state import apply_ticket
 from chiverun.core.ticketentry import Entry
+from chiverun.runtime.control import BeginStop
 from chiverun.runtime.control import HandOver
-from chiverun.runtime.control import Leave
 from chiverun.runtime.events import EntriesRead
 from standins.planes import Lifetime
 from standins.planes import make_ticket
@@ -130,7 +130,7 @@
             case Kind.FREEZE:
                 self._freeze(target, fault.duration_s)
             case Kind.LEAVE if len(self._live()) > 1:
-                target.inbox.append(Leave())
+                target.inbox.append(BeginStop())
                 self._after(1.0, lambda: target.inbox.append(HandOver()))
                 self._after(9.0, lambda: setattr(target, "is_dead", True))
             case Kind.STORE_CUT:
--- a/tests/runtime/test_drains.py
+++ b/tests/runtime/test_drains.py
@@ -20,9 +20,9 @@
 from chiverun.core.ticket import Server
 from chiverun.core.ticket import ServerState
 from chiverun.core.ticket import Ticket
+from chiverun.runtime.control import BeginStop
 from chiverun.runtime.control import ControlPlane
 from chiverun.runtime.control import Identity
-from chiverun.runtime.control import Leave
 from chiverun.runtime.control import ServersLeaving
 from chiverun.runtime.control import StateRead
 from tests.core import cap_states
@@ -175,7 +175,7 @@
 
     def test_leave_is_told_to_every_zone(self):
         """Other zones would forward and list it until gossip reached them."""
-        self.plane.handle(Leave())
+        self.plane.handle(BeginStop())
         told = [a for a, m in self.sent if m.gossip.sender.leaving]
         for zone, count in (("b1", 2), ("a1", 3), ("c1", 3)):
             found = {a for a in told if a.startswith(zone)}
--- a/tests/runtime/test_seatsystem.py
+++ b/tests/runtime/test_seatsystem.py
@@ -19,8 +19,8 @@
 from chiverun.core.ticket import Zone
 from chiverun.core.ticketentry import Entry
 from chiverun.runtime import gossip
+from chiverun.runtime.control import BeginStop
 from chiverun.runtime.control import HandOver
-from chiverun.runtime.control import Leave
 from chiverun.runtime.events import EntriesRead
 from chiverun.runtime.events import StateRead
 from standins.planes import Lifetime
@@ -161,7 +161,7 @@
         """A seat recorded for a receiver that never got it stayed unused."""
         planes, (one, two) = self._planes(2, **_QUIET)
         planes.exchange.is_cut = lambda a, b: a == two.peer
-        two.plane.handle(Leave())
+        two.plane.handle(BeginStop())
         two.plane.handle(HandOver())
         planes.run(1.5)
         two.is_dead = True
@@ -230,7 +230,7 @@
         """A transfer repeated after a pause came after a claim."""
         planes, (one, two) = self._planes(2, **_QUIET)
         planes.exchange.is_cut = lambda a, b: b == two.peer
-        one.plane.handle(Leave())
+        one.plane.handle(BeginStop())
         one.plane.handle(HandOver())
         planes.run(0.5)
         self.assertTrue(one.plane.seats.transfers)
@@ -242,7 +242,7 @@
         """A giver that died before it could write left a wrong owner."""
         planes, (one, two) = self._planes(2, **_QUIET)
         planes.cut_from_store.add(two.peer)
-        two.plane.handle(Leave())
+        two.plane.handle(BeginStop())
         two.plane.handle(HandOver())
         planes.run(2.0)
         two.is_dead = True
@@ -355,7 +355,7 @@
 
     def test_graceful_stop_hands_all_seats_over(self) -> None:
         planes, (one, _two, _three) = self._planes(3)
-        one.plane.handle(Leave())
+        one.plane.handle(BeginStop())
         planes.run(1.0)
         one.plane.handle(HandOver())
         self.assertTrue(
