--- a/chiverun/runtime/control.py
+++ b/chiverun/runtime/control.py
@@ -35,22 +35,22 @@
 from chiverun.runtime.events import BeginStop
 from chiverun.runtime.events import EntriesRead
 from chiverun.runtime.events import Event
-from chiverun.runtime.events import HandOver
 from chiverun.runtime.events import HeadForked
 from chiverun.runtime.events import SeatsClaimed
 from chiverun.runtime.events import SeatsRead
 from chiverun.runtime.events import SeatsWritten
 from chiverun.runtime.events import ServersLeaving
 from chiverun.runtime.events import StateRead
+from chiverun.runtime.events import TransferSeats
 
 __all__ = [
     "TICK_S",
     "BeginStop",
     "ControlPlane",
     "Event",
-    "HandOver",
     "Identity",
     "ServersLeaving",
+    "TransferSeats",
 ]
 
 TICK_S = 0.1
@@ -128,12 +128,12 @@
                 publishing.publish(self, self.clock.monotonic())
                 gossip.ping_zone(self)
                 gossip.ping_remote(self)
-            case HandOver():
+            case TransferSeats():
                 self.is_handing_over = True
 
     @property
     def has_handed_over(self) -> bool:
-        """Whether no seat is left here after `HandOver`."""
+        """Whether no seat is left here after `TransferSeats`."""
         seats = self.seats
         return self.is_handing_over and not (
             seats.held or seats.releasing or seats.transfers or seats.ungiven
--- a/chiverun/runtime/events.py
+++ b/chiverun/runtime/events.py
@@ -104,7 +104,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class HandOver:
+class TransferSeats:
     """The instance has no work left: it gives its seats away."""
 
 
@@ -116,4 +116,4 @@
     | StateRead
     | HeadForked
 )
-Event = StoreReport | ServersLeaving | BeginStop | HandOver
+Event = StoreReport | ServersLeaving | BeginStop | TransferSeats
--- a/chiverun/runtime/instance.py
+++ b/chiverun/runtime/instance.py
@@ -35,9 +35,9 @@
 from chiverun.runtime.control import BeginStop
 from chiverun.runtime.control import ControlPlane
 from chiverun.runtime.control import Event
-from chiverun.runtime.control import HandOver
 from chiverun.runtime.control import Identity
 from chiverun.runtime.control import TICK_S
+from chiverun.runtime.control import TransferSeats
 from chiverun.runtime.entry import EntryHandler
 from chiverun.runtime.events import StoreJob
 from chiverun.runtime.execution import Executor
@@ -292,7 +292,7 @@
         self._forward.refuse_new()
         if not self._wait(lambda: self._in_flight() == 0, self._finish_s()):
             _LOG.warning("requests left", extra={"count": self._in_flight()})
-        self._tell(HandOver())
+        self._tell(TransferSeats())
         if not self._wait(
             lambda: self._plane.has_handed_over, HAND_OVER_LIMIT_S
         ):
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -8,7 +8,7 @@
 from chiverun.core.state import apply_ticket
 from chiverun.core.ticketentry import Entry
 from chiverun.runtime.control import BeginStop
-from chiverun.runtime.control import HandOver
+from chiverun.runtime.control import TransferSeats
 from chiverun.runtime.events import EntriesRead
 from standins.planes import Lifetime
 from standins.planes import make_ticket
@@ -131,7 +131,7 @@
                 self._freeze(target, fault.duration_s)
             case Kind.LEAVE if len(self._live()) > 1:
                 target.inbox.append(BeginStop())
-                self._after(1.0, lambda: target.inbox.append(HandOver()))
+                self._after(1.0, lambda: target.inbox.append(TransferSeats()))
                 self._after(9.0, lambda: setattr(target, "is_dead", True))
             case Kind.STORE_CUT:
                 peers = planes.cut_from_store
--- a/tests/runtime/test_seatsystem.py
+++ b/tests/runtime/test_seatsystem.py
@@ -20,7 +20,7 @@
 from chiverun.core.ticketentry import Entry
 from chiverun.runtime import gossip
 from chiverun.runtime.control import BeginStop
-from chiverun.runtime.control import HandOver
+from chiverun.runtime.control import TransferSeats
 from chiverun.runtime.events import EntriesRead
 from chiverun.runtime.events import StateRead
 from standins.planes import Lifetime
@@ -76,7 +76,7 @@
         )
         self._pass_time(planes, 10.0)
         planes.store.is_down = True
-        one.plane.handle(HandOver())
+        one.plane.handle(TransferSeats())
         one.plane.receive(request)
         one.plane.tick()
         one.plane.tick()
@@ -162,7 +162,7 @@
         planes, (one, two) = self._planes(2, **_QUIET)
         planes.exchange.is_cut = lambda a, b: a == two.peer
         two.plane.handle(BeginStop())
-        two.plane.handle(HandOver())
+        two.plane.handle(TransferSeats())
         planes.run(1.5)
         two.is_dead = True
         self.assertTrue(planes.run_until(lambda: len(one.held) == 6, 40))
@@ -231,7 +231,7 @@
         planes, (one, two) = self._planes(2, **_QUIET)
         planes.exchange.is_cut = lambda a, b: b == two.peer
         one.plane.handle(BeginStop())
-        one.plane.handle(HandOver())
+        one.plane.handle(TransferSeats())
         planes.run(0.5)
         self.assertTrue(one.plane.seats.transfers)
         self._pass_time(planes, 10.0)
@@ -243,7 +243,7 @@
         planes, (one, two) = self._planes(2, **_QUIET)
         planes.cut_from_store.add(two.peer)
         two.plane.handle(BeginStop())
-        two.plane.handle(HandOver())
+        two.plane.handle(TransferSeats())
         planes.run(2.0)
         two.is_dead = True
         record, _ = one.records.read()
@@ -357,7 +357,7 @@
         planes, (one, _two, _three) = self._planes(3)
         one.plane.handle(BeginStop())
         planes.run(1.0)
-        one.plane.handle(HandOver())
+        one.plane.handle(TransferSeats())
         self.assertTrue(
             planes.run_until(lambda: one.plane.has_handed_over, limit_s=8)
         )
