--- a/chiverun/core/edgemessages.py
+++ b/chiverun/core/edgemessages.py
@@ -9,7 +9,7 @@
 from chiverun.core.ids import Address
 from chiverun.core.ids import BootId
 from chiverun.core.ids import InstanceId
-from chiverun.core.replica import Versioned
+from chiverun.core.replica import VersionedRecord
 
 
 class Heartbeat(msgspec.Struct, frozen=True, kw_only=True, tag="b"):
@@ -36,7 +36,7 @@
     boot_id: BootId = msgspec.field(name="life")
     since: Revision
     as_of: Revision
-    items: list[Versioned]
+    items: list[VersionedRecord]
     lapse_left_s: float
     live: list[InstanceId] | None = None
 
@@ -52,7 +52,7 @@
     """Every record as of a revision."""
 
     as_of: Revision
-    items: list[Versioned]
+    items: list[VersionedRecord]
 
 
 EdgeMessage = Heartbeat | Update | Pull | Snapshot
--- a/chiverun/core/replica.py
+++ b/chiverun/core/replica.py
@@ -37,7 +37,7 @@
 Record = DesiredState | Server | Machine | Evacuation | Unreadable
 
 
-class Versioned(msgspec.Struct, frozen=True, kw_only=True):
+class VersionedRecord(msgspec.Struct, frozen=True, kw_only=True):
     """A record at a revision of the store; None if it was deleted."""
 
     key: str
@@ -71,11 +71,11 @@
 
     def apply(
         self,
-        items: list[Versioned],
+        items: list[VersionedRecord],
         *,
         now: float,
         lapse_until: float = float("-inf"),
-    ) -> list[Versioned]:
+    ) -> list[VersionedRecord]:
         """Merge records; return those that changed what is known.
 
         Parameters
@@ -98,7 +98,7 @@
 
     def _put(
         self,
-        item: Versioned,
+        item: VersionedRecord,
         row: Row | None,
         now: float,
         lapse_until: float,
@@ -141,16 +141,16 @@
 
     def replace(
         self,
-        items: list[Versioned],
+        items: list[VersionedRecord],
         as_of: Revision,
         *,
         now: float,
         lapse_until: float = float("-inf"),
-    ) -> list[Versioned]:
+    ) -> list[VersionedRecord]:
         """Merge a complete listing: what it lacks was deleted before it."""
         present = {item.key for item in items}
         gone = [
-            Versioned(key=key, revision=as_of)
+            VersionedRecord(key=key, revision=as_of)
             for key, row in self.rows.items()
             if key not in present
             and row.record is not None
@@ -179,7 +179,7 @@
                 del self.rows[key]
         return dropped
 
-    def changed_after(self, revision: Revision) -> list[Versioned]:
+    def changed_after(self, revision: Revision) -> list[VersionedRecord]:
         """Return records and deletions whose content is newer."""
         return [
             _versioned(key, row)
@@ -187,7 +187,7 @@
             if row.content_revision > revision
         ]
 
-    def listing(self) -> list[Versioned]:
+    def listing(self) -> list[VersionedRecord]:
         """Return all rows that have a record in the store."""
         return [
             _versioned(key, row)
@@ -231,9 +231,9 @@
         )
 
 
-def _versioned(key: str, row: Row) -> Versioned:
+def _versioned(key: str, row: Row) -> VersionedRecord:
     is_lapsed = row.lapsed_until > float("-inf")
-    return Versioned(
+    return VersionedRecord(
         key=key,
         revision=row.revision,
         record=None if is_lapsed else row.record,
--- a/chiverun/integrations/catalogstore.py
+++ b/chiverun/integrations/catalogstore.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from chiverun.core.catalog import Machine
     from chiverun.core.catalog import Revision
-    from chiverun.core.replica import Versioned
+    from chiverun.core.replica import VersionedRecord
 
 
 class CatalogUnavailable(Exception):
@@ -22,7 +22,7 @@
 class Changes:
     """Records that changed up to a revision."""
 
-    items: "list[Versioned]"
+    items: "list[VersionedRecord]"
     as_of: "Revision"
 
 
--- a/chiverun/platform/store.py
+++ b/chiverun/platform/store.py
@@ -12,7 +12,7 @@
 from chiverun.core.exchange import Answered
 from chiverun.core.ids import Address
 from chiverun.core.replica import Unreadable
-from chiverun.core.replica import Versioned
+from chiverun.core.replica import VersionedRecord
 from chiverun.integrations.asyncclient import ClientConnection
 from chiverun.integrations.asyncclient import connect
 from chiverun.integrations.asyncclient import OutgoingRequest
@@ -51,7 +51,7 @@
         ------
         CatalogUnavailable
         """
-        items: list[Versioned] = []
+        items: list[VersionedRecord] = []
         as_of: Revision | None = None
         path = "/-/kv-range?prefix="
         for _ in range(_PAGES_MAX):
@@ -185,14 +185,14 @@
     return readable
 
 
-def _item(row: dict[str, Any]) -> Versioned | None:
+def _item(row: dict[str, Any]) -> VersionedRecord | None:
     """Decode an item or event; None for keys that are not followed."""
     key = row["key"]
     if not key.startswith(records.PREFIXES):
         return None
     revision = Revision(row["revision"])
     if row.get("deleted"):
-        return Versioned(key=key, revision=revision)
+        return VersionedRecord(key=key, revision=revision)
     try:
         data = base64.b64decode(values.field(row, "value", str), validate=True)
     except (ValueError, values.Malformed) as exc:
@@ -205,4 +205,4 @@
         )
     if record is None:
         return None
-    return Versioned(key=key, revision=revision, record=record)
+    return VersionedRecord(key=key, revision=revision, record=record)
--- a/chiverun/runtime/follower.py
+++ b/chiverun/runtime/follower.py
@@ -28,7 +28,7 @@
 from chiverun.core.replica import Evacuation
 from chiverun.core.replica import LAPSE_GRACE_S
 from chiverun.core.replica import Replica
-from chiverun.core.replica import Versioned
+from chiverun.core.replica import VersionedRecord
 from chiverun.integrations.catalogstore import CatalogStore
 from chiverun.integrations.catalogstore import CatalogUnavailable
 from chiverun.integrations.catalogstore import Changes
@@ -212,7 +212,7 @@
             _LOG.warning("store lost", extra={"reason": str(exc)})
 
     def _take_listing(
-        self, items: list[Versioned], as_of: Revision, source: str
+        self, items: list[VersionedRecord], as_of: Revision, source: str
     ) -> None:
         since = self.replica.as_of
         changed = self.replica.replace(
@@ -235,7 +235,7 @@
         self._note_changes(changed, "store")
         self._relay(since, changed)
 
-    def _relay(self, since: Revision, changed: list[Versioned]) -> None:
+    def _relay(self, since: Revision, changed: list[VersionedRecord]) -> None:
         """Tell the machines of the region, also that nothing changed."""
         now = self._loop.time()
         # Own reads replace the relay for this machine as well.
@@ -356,7 +356,9 @@
             )
         self._peers.send(pull.reply_to, edgemessages.encode(answer))
 
-    def _note_changes(self, changed: list[Versioned], source: str) -> None:
+    def _note_changes(
+        self, changed: list[VersionedRecord], source: str
+    ) -> None:
         if not changed:
             return
         self.table.note_machines(self.replica.machines())
@@ -373,7 +375,7 @@
         self._on_change()
 
 
-def _summary(item: Versioned) -> dict:
+def _summary(item: VersionedRecord) -> dict:
     match item.record:
         case None:
             return {"now": "deleted"}
--- a/tests/core/test_edgemessages.py
+++ b/tests/core/test_edgemessages.py
@@ -13,7 +13,7 @@
 from chiverun.core.catalog import Route
 from chiverun.core.edgemessages import Pull
 from chiverun.core.edgemessages import Snapshot
-from chiverun.core.replica import Versioned
+from chiverun.core.replica import VersionedRecord
 
 
 def _snapshot(routes: int) -> Snapshot:
@@ -39,7 +39,7 @@
         services=(),
         limits=ClientLimits(),
     )
-    item = Versioned(key="state", revision=9, record=state)
+    item = VersionedRecord(key="state", revision=9, record=state)
     return Snapshot(as_of=9, items=[item])
 
 
--- a/tests/core/test_replica.py
+++ b/tests/core/test_replica.py
@@ -12,7 +12,7 @@
 from chiverun.core.replica import LAPSE_GRACE_S
 from chiverun.core.replica import Replica
 from chiverun.core.replica import Unreadable
-from chiverun.core.replica import Versioned
+from chiverun.core.replica import VersionedRecord
 
 
 def _state(version: int) -> DesiredState:
@@ -35,8 +35,8 @@
     return Server(**{**values, **changes})
 
 
-def _item(key: str, revision: int, record=None) -> Versioned:
-    return Versioned(key=key, revision=revision, record=record)
+def _item(key: str, revision: int, record=None) -> VersionedRecord:
+    return VersionedRecord(key=key, revision=revision, record=record)
 
 
 class ReplicaTest(unittest.TestCase):
--- a/tests/runtime/test_follower.py
+++ b/tests/runtime/test_follower.py
@@ -14,7 +14,7 @@
 from chiverun.core.edgemessages import Pull
 from chiverun.core.edgemessages import Snapshot
 from chiverun.core.edgemessages import Update
-from chiverun.core.replica import Versioned
+from chiverun.core.replica import VersionedRecord
 from chiverun.integrations.catalogstore import CatalogUnavailable
 from chiverun.integrations.catalogstore import Changes
 from chiverun.integrations.catalogstore import HistoryCompacted
@@ -46,9 +46,9 @@
     )
 
 
-def _items(*records: tuple[str, int, object]) -> list[Versioned]:
+def _items(*records: tuple[str, int, object]) -> list[VersionedRecord]:
     return [
-        Versioned(key=key, revision=revision, record=record)
+        VersionedRecord(key=key, revision=revision, record=record)
         for key, revision, record in records
     ]
 
