--- a/chiverun/cli.py
+++ b/chiverun/cli.py
@@ -323,7 +323,7 @@
 
 
 def _details(status: Status, newest: int) -> str:
-    parts = [f"{s}={n}" for s, n in sorted(status.room.items())]
+    parts = [f"{s}={n}" for s, n in sorted(status.free_slots.items())]
     parts += [f"link {t}={f:.0%}" for t, f in sorted(status.links.items())]
     if status.number < newest:
         parts.append(f"STALE since {status.in_force_s:.0f}s")
--- a/chiverun/core/admission.py
+++ b/chiverun/core/admission.py
@@ -296,7 +296,7 @@
         with self._lock:
             return self._health.draining(now)
 
-    def room(self) -> dict[ServiceName, int]:
+    def free_slots(self) -> dict[ServiceName, int]:
         """Return the free slots for short requests by service."""
         now = self._clock.monotonic()
         with self._lock:
--- a/chiverun/core/messages.py
+++ b/chiverun/core/messages.py
@@ -44,7 +44,7 @@
 class Advert(_Record):
     """What an instance says of itself; newest by (incarnation, sequence).
 
-    `room` is the number of its free slots by service, `age_ms` the time
+    `free_slots` is the number of its free slots by service, `age_ms` the time
     since the instance made the advert.
     """
 
@@ -59,7 +59,7 @@
     peer: Address
     leaving: bool
     seats: tuple[SeatClaim, ...]
-    room: dict[ServiceName, int]
+    free_slots: dict[ServiceName, int]
     number: int
     age_ms: int = 0
 
--- a/chiverun/core/routing.py
+++ b/chiverun/core/routing.py
@@ -78,7 +78,7 @@
         key=lambda t: (
             t.zone != home,
             t.region != zone.region,
-            -t.addresses.room.get(service, 0),
+            -t.addresses.free_slots.get(service, 0),
         )
     )
     return targets[:TARGETS_MAX]
@@ -92,7 +92,7 @@
 ) -> list[Target]:
     """Return the instances of a region, most free slots first."""
     targets = [t for t in _targets(snapshot, me) if t.region == region]
-    targets.sort(key=lambda t: -t.addresses.room.get(service, 0))
+    targets.sort(key=lambda t: -t.addresses.free_slots.get(service, 0))
     return targets[:TARGETS_MAX]
 
 
@@ -137,7 +137,7 @@
     if not rooms:
         return 0, float("-inf")
     return (
-        sum(a.room.get(service, 0) for a in rooms),
+        sum(a.free_slots.get(service, 0) for a in rooms),
         min(a.measured_at for a in rooms),
     )
 
@@ -155,5 +155,5 @@
     addresses = target.addresses
     return (
         now - addresses.measured_at <= ROOM_MAX_AGE_S
-        and addresses.room.get(service, 0) > 0
+        and addresses.free_slots.get(service, 0) > 0
     )
--- a/chiverun/core/shift.py
+++ b/chiverun/core/shift.py
@@ -35,7 +35,7 @@
 class Measurement:
     """Free slots at the target region for a service, and their age."""
 
-    room: int
+    free_slots: int
     age_s: float
 
 
@@ -112,7 +112,7 @@
         return
     if measurement is None or measurement.age_s > FRESH_S:
         return
-    if measurement.room <= 0 or now - progress.grown_at < (
+    if measurement.free_slots <= 0 or now - progress.grown_at < (
         progress.shift.warm_s
     ):
         return
--- a/chiverun/core/snapshot.py
+++ b/chiverun/core/snapshot.py
@@ -17,7 +17,7 @@
 class EntryAddresses:
     """Where an instance listens, as ``ip:port``, and what it holds.
 
-    `room` is the free slots by service; it and `seats` were measured at
+    `free_slots` is the free slots by service; it and `seats` were measured at
     `measured_at`.
     """
 
@@ -25,7 +25,7 @@
     lookup: Address
     entry: Address
     forward: Address
-    room: Mapping[ServiceName, int]
+    free_slots: Mapping[ServiceName, int]
     measured_at: float
     seats: tuple[SeatIndex, ...] = ()
 
@@ -34,7 +34,7 @@
 class ZoneView:
     """What is known of a zone.
 
-    `room` is the number of free slots by service at `measured_at`
+    `free_slots` is the number of free slots by service at `measured_at`
     (monotonic seconds of this instance). A drained zone stays listed, since
     the issuer of a key may be in it.
     """
@@ -42,7 +42,7 @@
     zone: ZoneName
     region: RegionName
     instances: tuple[EntryAddresses, ...]
-    room: Mapping[ServiceName, int]
+    free_slots: Mapping[ServiceName, int]
     measured_at: float
     is_drained: bool = False
 
--- a/chiverun/runtime/gossip.py
+++ b/chiverun/runtime/gossip.py
@@ -41,7 +41,7 @@
             SeatClaim(seat=seat, epoch=held.epoch)
             for seat, held in ctx.seats.held.items()
         ),
-        room=ctx.admission.room(),
+        free_slots=ctx.admission.free_slots(),
         number=ctx.state.number,
     )
 
--- a/chiverun/runtime/publishing.py
+++ b/chiverun/runtime/publishing.py
@@ -101,7 +101,7 @@
             lookup=m.advert.lookup,
             entry=m.advert.entry,
             forward=m.advert.forward,
-            room=m.advert.room,
+            free_slots=m.advert.free_slots,
             measured_at=m.measured_at,
             seats=tuple(c.seat for c in m.advert.seats),
         )
@@ -109,15 +109,15 @@
     ]
     if zone.name == ctx.identity.zone and not ctx.is_leaving:
         instances.append(_own_addresses(ctx))
-    room: collections.Counter = collections.Counter()
+    free_slots: collections.Counter = collections.Counter()
     for member in members:
-        room.update(member.advert.room)
+        free_slots.update(member.advert.free_slots)
     oldest = max((m.measured_at for m in members), default=-math.inf)
     return ZoneView(
         zone=zone.name,
         region=zone.region,
         instances=tuple(sorted(instances, key=lambda a: a.instance)),
-        room=dict(room),
+        free_slots=dict(free_slots),
         measured_at=oldest,
         is_drained=zone.state is ZoneState.DRAIN,
     )
@@ -130,6 +130,6 @@
         lookup=me.lookup,
         entry=me.entry,
         forward=me.forward,
-        room={},
+        free_slots={},
         measured_at=-math.inf,
     )
--- a/chiverun/runtime/shifting.py
+++ b/chiverun/runtime/shifting.py
@@ -45,10 +45,12 @@
             return []
         with self._lock:
             progress = self._progress_of(shift)
-            room, measured_at = region_free_slots(
+            free_slots, measured_at = region_free_slots(
                 snapshot, shift.target, shift.service
             )
-            measurement = Measurement(room=room, age_s=now - measured_at)
+            measurement = Measurement(
+                free_slots=free_slots, age_s=now - measured_at
+            )
             grow(progress, measurement, now)
             if not take(progress):
                 return []
--- a/chiverun/runtime/status.py
+++ b/chiverun/runtime/status.py
@@ -40,7 +40,7 @@
 class Status(msgspec.Struct, frozen=True, kw_only=True):
     """Status of one instance.
 
-    `room` is the number of free slots by service, `links` the free part of
+    `free_slots` is by service, `links` the free part of
     each link's portion, `in_force_s` the time since the ticket came in force
     here.
     """
@@ -58,7 +58,7 @@
     store_fault: str | None = None
     seats: list[int]
     seats_open: int
-    room: dict[str, int]
+    free_slots: dict[str, int] = msgspec.field(name="room")
     in_flight: int
     links: dict[str, float]
     draining: list[str]
@@ -84,7 +84,7 @@
         store_fault=sources.watch.fault,
         seats=sorted(held),
         seats_open=sum(1 for h in held.values() if h.short_opens_at <= now),
-        room=dict(sources.admission.room()),
+        free_slots=dict(sources.admission.free_slots()),
         in_flight=sources.admission.in_flight(),
         links={t: round(f, 3) for t, f in sources.links.headroom().items()},
         draining=sorted(plane.snapshot.leaving_servers),
--- a/standins/load_model.py
+++ b/standins/load_model.py
@@ -282,7 +282,7 @@
 
     def _tick(self, until: float) -> None:
         now = self._clock.monotonic()
-        rooms = {n.info.name: n.admission.room() for n in self._nodes}
+        rooms = {n.info.name: n.admission.free_slots() for n in self._nodes}
         zones = {}
         for zone, region in self._spec.zones():
             known = tuple(
@@ -291,7 +291,7 @@
                     lookup=n.info.name,
                     entry=n.info.name,
                     forward=n.info.name,
-                    room=rooms[n.info.name],
+                    free_slots=rooms[n.info.name],
                     measured_at=now,
                 )
                 for n in self._nodes
@@ -301,7 +301,7 @@
                 zone=zone,
                 region=region,
                 instances=known,
-                room={},
+                free_slots={},
                 measured_at=now,
             )
         for node in self._nodes:
--- a/standins/measure_control.py
+++ b/standins/measure_control.py
@@ -131,7 +131,7 @@
             peer=Address(f"{host}:7000"),
             leaving=False,
             seats=(),
-            room={SERVICE: 7},
+            free_slots={SERVICE: 7},
             number=1,
         )
 
--- a/tests/core/cap_states.py
+++ b/tests/core/cap_states.py
@@ -111,7 +111,7 @@
             lookup=f"{name}:1",
             entry=f"{name}:2",
             forward=f"{name}:3",
-            room={"s": 5},
+            free_slots={"s": 5},
             measured_at=measured_at,
             seats=tuple(seats),
         )
@@ -121,7 +121,7 @@
         zone=zone,
         region=region,
         instances=addresses,
-        room={"s": 5 * len(addresses)},
+        free_slots={"s": 5 * len(addresses)},
         measured_at=min(a.measured_at for a in addresses),
     )
 
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -26,7 +26,7 @@
         "peer": f"{name}:7000",
         "leaving": False,
         "seats": (),
-        "room": {},
+        "free_slots": {},
         "number": 1,
     }
     return Advert(instance=name, **{**values, **fields})
--- a/tests/core/test_shift.py
+++ b/tests/core/test_shift.py
@@ -19,7 +19,7 @@
 from chiverun.core.shift import with_shift
 from tests.core import cap_states
 
-_FRESH = Measurement(room=3, age_s=0.5)
+_FRESH = Measurement(free_slots=3, age_s=0.5)
 _ZONES = ("a1", "b1", "b2")
 
 
@@ -49,8 +49,8 @@
     @params(
         (_FRESH, 2.0, 0.2),
         (None, 2.0, 0.1),
-        (Measurement(room=3, age_s=3.1), 2.0, 0.1),
-        (Measurement(room=0, age_s=0.1), 2.0, 0.1),
+        (Measurement(free_slots=3, age_s=3.1), 2.0, 0.1),
+        (Measurement(free_slots=0, age_s=0.1), 2.0, 0.1),
         (_FRESH, 0.9, 0.1),
     )
     def test_grows_on_fresh_room_after_the_warm_time(
--- a/tests/runtime/test_drains.py
+++ b/tests/runtime/test_drains.py
@@ -43,7 +43,7 @@
         peer=f"{name}:4",
         leaving=False,
         seats=(),
-        room={},
+        free_slots={},
         number=1,
     )
 
--- a/tests/runtime/test_entry.py
+++ b/tests/runtime/test_entry.py
@@ -103,7 +103,7 @@
         lookup="l",
         entry=f"entry-of-{name}",
         forward="f",
-        room={"desk": 1},
+        free_slots={"desk": 1},
         measured_at=1000.0,
     )
 
@@ -118,7 +118,7 @@
             zone="a",
             region="r",
             instances=tuple(_addresses(n) for n in names),
-            room={},
+            free_slots={},
             measured_at=1000.0,
         )
         return Snapshot(
@@ -276,7 +276,7 @@
         self.peer_calls = _Script(refused, refused, _OK)
         entry = self._entry(_Script(refused))
         self.plane.snapshot = self._snapshot("a-2", leaving=leaving)
-        self.plane.snapshot.zones["a"].instances[0].room.clear()
+        self.plane.snapshot.zones["a"].instances[0].free_slots.clear()
         (key,) = self.keys.issue(1)
         self.assertEqual("answered", self._send(entry, key=key)[0])
         self.assertEqual(3, len(self.peer_calls.calls))
--- a/tests/runtime/test_hedging.py
+++ b/tests/runtime/test_hedging.py
@@ -142,7 +142,7 @@
         # The server closed the connection, so its slot is free at once.
         self.assertTrue(_until(lambda: self.zone.admission.in_flight() == 0))
         self.assertFalse(self.zone.admission.seat_in_use(0))
-        self.assertEqual(2, self.zone.admission.room()["desk"])
+        self.assertEqual(2, self.zone.admission.free_slots()["desk"])
 
     def test_a_server_that_ignores_the_cancellation_keeps_its_slot(self):
         """Guards against a slot that is reused while the request runs."""
@@ -152,9 +152,9 @@
         self.zone.run()
         time.sleep(0.1)
         self.assertEqual(1, self.zone.admission.in_flight())
-        self.assertEqual(1, self.zone.admission.room()["desk"])
+        self.assertEqual(1, self.zone.admission.free_slots()["desk"])
         self.assertTrue(_until(lambda: self.zone.admission.in_flight() == 0))
-        self.assertEqual(2, self.zone.admission.room()["desk"])
+        self.assertEqual(2, self.zone.admission.free_slots()["desk"])
 
     def test_a_reset_after_the_cancellation_proves_no_end(self):
         """Guards against a slot that is reused without proof of its end."""
@@ -163,7 +163,7 @@
         backend.faults["reset_after"] = 1
         self.zone.run()
         self.assertTrue(_until(lambda: self.zone.admission.in_flight() == 0))
-        self.assertEqual(1, self.zone.admission.room()["desk"])
+        self.assertEqual(1, self.zone.admission.free_slots()["desk"])
 
     @params(
         (BOOK, 2, 2.0, 1),
