--- a/chiverun/core/tables.py
+++ b/chiverun/core/tables.py
@@ -196,8 +196,8 @@
 
     `marks` holds the latest holder ever heard of for each seat, `digest` a
     hash of them (None when to be computed); `taken` the epochs of transfers
-    that this instance has taken, so that it takes none twice. `news` are
-    seats gained lately, with the number of times left to tell the zone.
+    that this instance has taken, so that it takes none twice. `gained_seats`
+    are seats gained lately, with the number of times left to tell the zone.
     While `suspended_at` is set, the seats may not be used; acknowledgements
     of pings numbered above `suspended_sequence` were made after the pause.
     `unwritten` and `ungiven` await being written to the store's record.
@@ -215,7 +215,9 @@
     )
     digest: int | None = None
     taken: dict[SeatIndex, int] = dataclasses.field(default_factory=dict)
-    news: dict[SeatIndex, int] = dataclasses.field(default_factory=dict)
+    gained_seats: dict[SeatIndex, int] = dataclasses.field(
+        default_factory=dict
+    )
     gained_announced_at: float = float("-inf")
     uncovered_since: dict[SeatIndex, float] = dataclasses.field(
         default_factory=dict
--- a/chiverun/runtime/seatsystem.py
+++ b/chiverun/runtime/seatsystem.py
@@ -113,18 +113,23 @@
     was wrongly taken for dead hears of it before they open.
     """
     seats = ctx.seats
-    if not seats.news or now - seats.gained_announced_at < _NEWS_PERIOD_S:
+    if (
+        not seats.gained_seats
+        or now - seats.gained_announced_at < _NEWS_PERIOD_S
+    ):
         return
     seats.gained_announced_at = now
     marks = tuple(
         SeatHolderRecord(
             seat=s, epoch=seats.marks[s].epoch, boot_id=seats.marks[s].boot_id
         )
-        for s in seats.news
+        for s in seats.gained_seats
     )
     for row in ctx.members.in_zone(ctx.identity.zone):
         gossip.send_marks(ctx, row.peer, marks)
-    seats.news = {s: n - 1 for s, n in seats.news.items() if n > 1}
+    seats.gained_seats = {
+        s: n - 1 for s, n in seats.gained_seats.items() if n > 1
+    }
 
 
 # Suspension.
--- a/chiverun/runtime/seattransfer.py
+++ b/chiverun/runtime/seattransfer.py
@@ -256,7 +256,7 @@
     """Note a seat that this instance holds from now on."""
     mark = SeatHolder(epoch, ctx.identity.boot_id)
     seat_rules.record_holder(ctx.seats, seat, mark)
-    ctx.seats.news[seat] = _NEWS_SENDS
+    ctx.seats.gained_seats[seat] = _NEWS_SENDS
 
 
 def member_owner(row: Member, epoch: int) -> Owner:
--- a/tests/runtime/test_seatsystem.py
+++ b/tests/runtime/test_seatsystem.py
@@ -260,14 +260,14 @@
         one.plane.send = lambda to, m: (told.append((to, m)), send(to, m))
         planes.run_until(lambda: len(one.held) == 6, 30)
         planes.run(2.0)
-        news = [
+        gained_seats = [
             m
             for to, m in told
             if to == two.peer
             and isinstance(m, SeatHolderRecords)
             and any(mark.epoch >= 2 * CLAIM_EPOCHS for mark in m.marks)
         ]
-        self.assertGreaterEqual(len(news), 4)
+        self.assertGreaterEqual(len(gained_seats), 4)
 
     def test_holder_cut_from_its_peers_reads_the_record(self) -> None:
         """In a large zone it takes an instance long to see that it is cut
