--- a/chiverun/core/idempotency.py
+++ b/chiverun/core/idempotency.py
@@ -108,7 +108,7 @@
         self, *, instance: InstanceId, boot_id: BootId, clock: "Clock"
     ) -> None:
         self._instance = instance
-        self._life = boot_id
+        self._boot_id = boot_id
         self._clock = clock
         self._changed = threading.Condition()
         self._rows: collections.OrderedDict[IdempotencyKey, _Row] = (
@@ -143,7 +143,7 @@
             self._expire(self._clock.monotonic())
             row = self._rows.get(key)
             if row is None:
-                return _unlisted(key, self._life)
+                return _unlisted(key, self._boot_id)
             if row.fingerprint not in ("", fingerprint):
                 # This request itself did not run; the key's own one may have.
                 return Reject(
@@ -203,7 +203,7 @@
             self._rows[oldest].result = None
 
     def _new_key(self) -> IdempotencyKey:
-        parts = (self._instance, self._life, secrets.token_hex(8))
+        parts = (self._instance, self._boot_id, secrets.token_hex(8))
         return IdempotencyKey(_SEPARATOR.join(parts))
 
     def _expire(self, now: float) -> None:
--- a/chiverun/runtime/edge.py
+++ b/chiverun/runtime/edge.py
@@ -66,7 +66,7 @@
         self._loop = asyncio.get_running_loop()
         self._stopping = asyncio.Event()
         self._stop_asked_at = 0.0
-        self._life = BootId(uuid.uuid4().hex[:12])
+        self._boot_id = BootId(uuid.uuid4().hex[:12])
         self._peers = ZmqPeers(bind=cfg.peer, addresses=AddressMap(mapping={}))
         self._me = Machine(
             name=cfg.name,
@@ -77,7 +77,7 @@
         )
         self.follower = CatalogFollower(
             me=self._me,
-            boot_id=self._life,
+            boot_id=self._boot_id,
             store=store,
             peers=self._peers,
             seeds=cfg.seeds,
@@ -147,7 +147,7 @@
         _LOG.info(
             "started",
             extra={
-                "life": self._life,
+                "life": self._boot_id,
                 "zone": self.cfg.zone,
                 "region": self.cfg.region,
                 "entry": self.cfg.entry,
--- a/chiverun/runtime/follower.py
+++ b/chiverun/runtime/follower.py
@@ -67,7 +67,7 @@
         self.table = PeerTable(me=me)
         self.leaving = False
         self._me = me
-        self._life = boot_id
+        self._boot_id = boot_id
         self._store = store
         self._peers = peers
         self._seeds = tuple(seed for seed in seeds if seed != me.peer)
@@ -133,7 +133,7 @@
         message = edgemessages.encode(
             Heartbeat(
                 machine=self._me,
-                boot_id=self._life,
+                boot_id=self._boot_id,
                 leaving=self.leaving,
                 reads_store=self._reads_store,
             )
@@ -251,7 +251,7 @@
         message = edgemessages.encode(
             Update(
                 sender=self._me.name,
-                boot_id=self._life,
+                boot_id=self._boot_id,
                 since=since,
                 as_of=self.replica.as_of,
                 items=changed,
@@ -344,7 +344,7 @@
         if pull.as_of:
             answer = Update(
                 sender=self._me.name,
-                boot_id=self._life,
+                boot_id=self._boot_id,
                 since=pull.as_of,
                 as_of=self.replica.as_of,
                 items=self.replica.changed_after(pull.as_of),
