--- a/chiverun/core/tables.py
+++ b/chiverun/core/tables.py
@@ -200,7 +200,7 @@
     are seats gained lately, with the number of times left to tell the zone.
     While `suspended_at` is set, the seats may not be used; acknowledgements
     of pings numbered above `suspended_sequence` were made after the pause.
-    `unwritten` and `ungiven` await being written to the store's record.
+    `unwritten` and `unwritten_releases` await being written to the record.
     """
 
     held: dict[SeatIndex, Held] = dataclasses.field(default_factory=dict)
@@ -232,7 +232,9 @@
     read_pending_since: float | None = None
     read_at: float = float("-inf")
     unwritten: dict[SeatIndex, Owner] = dataclasses.field(default_factory=dict)
-    ungiven: dict[SeatIndex, int] = dataclasses.field(default_factory=dict)
+    unwritten_releases: dict[SeatIndex, int] = dataclasses.field(
+        default_factory=dict
+    )
     write_pending_since: float | None = None
     write_at: float = float("-inf")
     old_classes: list[OldClasses] = dataclasses.field(default_factory=list)
--- a/chiverun/runtime/control.py
+++ b/chiverun/runtime/control.py
@@ -136,7 +136,10 @@
         """Whether no seat is left here after `TransferSeats`."""
         seats = self.seats
         return self.is_handing_over and not (
-            seats.held or seats.releasing or seats.transfers or seats.ungiven
+            seats.held
+            or seats.releasing
+            or seats.transfers
+            or seats.unwritten_releases
         )
 
     def hears_peers(self, now: float, within_s: float) -> bool:
--- a/chiverun/runtime/seattransfer.py
+++ b/chiverun/runtime/seattransfer.py
@@ -294,20 +294,26 @@
         kept = ctx.seats.unwritten.get(seat)
         if kept is None or owner.epoch > kept.epoch:
             ctx.seats.unwritten[seat] = owner
-    ctx.seats.ungiven.update(released)
+    ctx.seats.unwritten_releases.update(released)
 
 
 def flush_writes(ctx: "ControlContext", now: float) -> None:
     """Submit one job with all kept changes, unless one is under way."""
     seats = ctx.seats
-    if not (seats.unwritten or seats.ungiven) or now < seats.write_at:
+    if (
+        not (seats.unwritten or seats.unwritten_releases)
+        or now < seats.write_at
+    ):
         return
     pending = seats.write_pending_since
     if pending is not None and now - pending < _WRITE_LIMIT_S:
         return
     seats.write_pending_since = now
     ctx.submit(
-        WriteSeats(owners=dict(seats.unwritten), released=dict(seats.ungiven))
+        WriteSeats(
+            owners=dict(seats.unwritten),
+            released=dict(seats.unwritten_releases),
+        )
     )
 
 
@@ -322,5 +328,5 @@
         if seats.unwritten.get(seat) == owner:
             del seats.unwritten[seat]
     for seat, epoch in report.job.released.items():
-        if seats.ungiven.get(seat) == epoch:
-            del seats.ungiven[seat]
+        if seats.unwritten_releases.get(seat) == epoch:
+            del seats.unwritten_releases[seat]
