--- a/chiverun/core/messages.py
+++ b/chiverun/core/messages.py
@@ -206,7 +206,7 @@
 
     zone: ZoneName
     sender: Address
-    marks: tuple[SeatHolderRecord, ...]
+    known_holders: tuple[SeatHolderRecord, ...]
 
 
 Message = (
--- a/chiverun/core/seats.py
+++ b/chiverun/core/seats.py
@@ -82,8 +82,8 @@
 class ClaimPlan:
     """What a claimant asks the store worker to claim.
 
-    `ended` are process lifetimes that take no more requests. `marks` are the
-    latest holders known of the seats, which the record may not show yet;
+    `ended` are process lifetimes that take no more requests. `known_holders`
+    are the latest holders of the seats, which the record may not show yet;
     `overdue` seats have been without a holder for `UNCOVERED_S`. Of `live`
     instances this one has the rank `rank`; it prefers every `live`-th seat,
     since neighbouring seats share the slots of one server.
@@ -94,7 +94,7 @@
     rank: int
     live: int
     ended: frozenset[BootId]
-    marks: Mapping[SeatIndex, SeatHolder]
+    known_holders: Mapping[SeatIndex, SeatHolder]
     overdue: frozenset[SeatIndex]
 
 
@@ -114,10 +114,10 @@
 
 def record_holder(table: SeatTable, seat: SeatIndex, mark: SeatHolder) -> bool:
     """Take over a mark; return whether it is later than the known one."""
-    known = table.marks.get(seat)
+    known = table.known_holders.get(seat)
     if not 0 <= seat < SEATS_MAX or (known is not None and mark <= known):
         return False
-    table.marks[seat] = mark
+    table.known_holders[seat] = mark
     table.digest = None
     return True
 
@@ -125,20 +125,22 @@
 def holders_digest(table: SeatTable) -> int:
     """Return a hash of the marks, 0 if there are none."""
     if table.digest is None:
-        marks = sorted((s, m.epoch, m.boot_id) for s, m in table.marks.items())
-        data = msgspec.msgpack.encode(marks) if marks else b""
+        known_holders = sorted(
+            (s, m.epoch, m.boot_id) for s, m in table.known_holders.items()
+        )
+        data = msgspec.msgpack.encode(known_holders) if known_holders else b""
         table.digest = xxhash.xxh32_intdigest(data) if data else 0
     return table.digest
 
 
 def newer_holders(
-    table: SeatTable, marks: Iterable[SeatHolderRecord]
+    table: SeatTable, known_holders: Iterable[SeatHolderRecord]
 ) -> tuple[SeatHolderRecord, ...]:
     """Return the known marks that are later than the given ones."""
     return tuple(
         SeatHolderRecord(seat=m.seat, epoch=known.epoch, boot_id=known.boot_id)
-        for m in marks
-        if (known := table.marks.get(m.seat)) is not None
+        for m in known_holders
+        if (known := table.known_holders.get(m.seat)) is not None
         and known > SeatHolder(m.epoch, m.boot_id)
     )
 
@@ -149,8 +151,8 @@
     return {
         seat
         for seat, held in mine.items()
-        if seat in table.marks
-        and table.marks[seat] > SeatHolder(held.epoch, boot_id)
+        if seat in table.known_holders
+        and table.known_holders[seat] > SeatHolder(held.epoch, boot_id)
     }
 
 
@@ -213,7 +215,7 @@
             continue
         if owner is not None and not _has_ended(owner, plan, me):
             continue
-        mark = plan.marks.get(seat, SeatHolder(0, BootId("")))
+        mark = plan.known_holders.get(seat, SeatHolder(0, BootId("")))
         epoch = record.epoch(seat)
         if (
             mark.epoch > epoch
--- a/chiverun/core/tables.py
+++ b/chiverun/core/tables.py
@@ -194,8 +194,8 @@
 class SeatTable:
     """Seats of this instance.
 
-    `marks` holds the latest holder ever heard of for each seat, `digest` a
-    hash of them (None when to be computed); `taken` the epochs of transfers
+    `known_holders` has the latest holder ever heard of for each seat, `digest`
+    a hash of them (None when to be computed); `taken` the epochs of transfers
     that this instance has taken, so that it takes none twice. `gained_seats`
     are seats gained lately, with the number of times left to tell the zone.
     While `suspended_at` is set, the seats may not be used; acknowledgements
@@ -210,7 +210,7 @@
     transfers: dict[SeatIndex, Transfer] = dataclasses.field(
         default_factory=dict
     )
-    marks: dict[SeatIndex, SeatHolder] = dataclasses.field(
+    known_holders: dict[SeatIndex, SeatHolder] = dataclasses.field(
         default_factory=dict
     )
     digest: int | None = None
--- a/chiverun/runtime/gossip.py
+++ b/chiverun/runtime/gossip.py
@@ -136,21 +136,23 @@
 def _all_marks(ctx: "ControlContext") -> tuple[SeatHolderRecord, ...]:
     return tuple(
         SeatHolderRecord(seat=seat, epoch=mark.epoch, boot_id=mark.boot_id)
-        for seat, mark in ctx.seats.marks.items()
+        for seat, mark in ctx.seats.known_holders.items()
     )
 
 
 def send_marks(
     ctx: "ControlContext",
     address: Address,
-    marks: tuple[SeatHolderRecord, ...],
+    known_holders: tuple[SeatHolderRecord, ...],
 ) -> None:
     """Tell an instance of the zone which holders are known."""
-    if marks:
+    if known_holders:
         ctx.send(
             address,
             SeatHolderRecords(
-                zone=ctx.identity.zone, sender=ctx.identity.peer, marks=marks
+                zone=ctx.identity.zone,
+                sender=ctx.identity.peer,
+                known_holders=known_holders,
             ),
         )
 
@@ -159,11 +161,11 @@
     """Take over later holders; answer with those the sender lacks."""
     if message.zone != ctx.identity.zone:
         return
-    for m in message.marks:
+    for m in message.known_holders:
         seat_rules.record_holder(
             ctx.seats, m.seat, SeatHolder(m.epoch, m.boot_id)
         )
-    later = seat_rules.newer_holders(ctx.seats, message.marks)
+    later = seat_rules.newer_holders(ctx.seats, message.known_holders)
     send_marks(ctx, message.sender, later)
 
 
--- a/chiverun/runtime/seatsystem.py
+++ b/chiverun/runtime/seatsystem.py
@@ -119,14 +119,16 @@
     ):
         return
     seats.gained_announced_at = now
-    marks = tuple(
+    known_holders = tuple(
         SeatHolderRecord(
-            seat=s, epoch=seats.marks[s].epoch, boot_id=seats.marks[s].boot_id
+            seat=s,
+            epoch=seats.known_holders[s].epoch,
+            boot_id=seats.known_holders[s].boot_id,
         )
         for s in seats.gained_seats
     )
     for row in ctx.members.in_zone(ctx.identity.zone):
-        gossip.send_marks(ctx, row.peer, marks)
+        gossip.send_marks(ctx, row.peer, known_holders)
     seats.gained_seats = {
         s: n - 1 for s, n in seats.gained_seats.items() if n > 1
     }
@@ -198,7 +200,7 @@
         rank=sum(1 for m in sharers if m.instance < ctx.identity.instance),
         live=live,
         ended=seat_rules.ended_lives(ctx.members, zone.name, now),
-        marks=dict(seats.marks),
+        known_holders=dict(seats.known_holders),
         overdue=frozenset(
             s
             for s, since in seats.uncovered_since.items()
@@ -227,7 +229,7 @@
         _note_record(ctx, report.record)
     for claim in report.claims:
         mark = SeatHolder(claim.epoch, ctx.identity.boot_id)
-        known = ctx.seats.marks.get(claim.seat)
+        known = ctx.seats.known_holders.get(claim.seat)
         if claim.seat in ctx.seats.held or (known and known > mark):
             continue
         ctx.seats.held[claim.seat] = seat_rules.held_after_claim(
--- a/chiverun/runtime/seattransfer.py
+++ b/chiverun/runtime/seattransfer.py
@@ -195,7 +195,7 @@
     ctx: "ControlContext", seat: SeatIndex, transfer: Transfer
 ) -> bool:
     row = ctx.members.rows[transfer.receiver]
-    known = ctx.seats.marks.get(seat)
+    known = ctx.seats.known_holders.get(seat)
     if known is not None and known.epoch > transfer.epoch:
         return True
     claims = row.advert.seats if row.advert else ()
@@ -222,7 +222,7 @@
     if message.epoch <= ctx.seats.taken.get(message.seat, 0):
         ctx.send(message.previous_holder, taken)
         return
-    known = ctx.seats.marks.get(message.seat)
+    known = ctx.seats.known_holders.get(message.seat)
     if known is not None and known > SeatHolder(
         message.epoch, message.boot_id
     ):
--- a/tests/core/test_seats.py
+++ b/tests/core/test_seats.py
@@ -47,7 +47,7 @@
         "rank": 0,
         "live": 1,
         "ended": frozenset(),
-        "marks": {},
+        "known_holders": {},
         "overdue": frozenset(),
     }
     return ClaimPlan(**{**values, **fields})
@@ -76,19 +76,25 @@
         (
             "record behind a live holder",
             _owner(boot_id="me"),
-            {"marks": {0: SeatHolder(8, "c1")}},
+            {"known_holders": {0: SeatHolder(8, "c1")}},
             [],
         ),
         (
             "record behind a silent holder",
             _owner(boot_id="me"),
-            {"marks": {0: SeatHolder(8, "c1")}, "ended": frozenset({"c1"})},
+            {
+                "known_holders": {0: SeatHolder(8, "c1")},
+                "ended": frozenset({"c1"}),
+            },
             _claim(8),
         ),
         (
             "holder never took the seat",
             _owner(boot_id="me"),
-            {"marks": {0: SeatHolder(8, "c1")}, "overdue": frozenset({0})},
+            {
+                "known_holders": {0: SeatHolder(8, "c1")},
+                "overdue": frozenset({0}),
+            },
             _claim(8),
         ),
     )
@@ -121,10 +127,10 @@
     def test_the_later_mark_wins_everywhere(self) -> None:
         """Two holders with equal epochs both kept the seat."""
         one, two = SeatTable(), SeatTable()
-        marks = [(4, "x"), (5, "x"), (5, "y")]
-        for epoch, boot_id in marks:
+        known_holders = [(4, "x"), (5, "x"), (5, "y")]
+        for epoch, boot_id in known_holders:
             record_holder(one, 0, SeatHolder(epoch, boot_id))
-        for epoch, boot_id in reversed(marks):
+        for epoch, boot_id in reversed(known_holders):
             record_holder(two, 0, SeatHolder(epoch, boot_id))
         self.assertEqual(holders_digest(one), holders_digest(two))
         one.held[0] = Held(epoch=5, short_opens_at=0.0, long_opens_at=0.0)
@@ -139,7 +145,7 @@
     def test_marks_are_bounded(self, seat) -> None:
         table = SeatTable()
         self.assertFalse(record_holder(table, seat, SeatHolder(1, "x")))
-        self.assertEqual({}, table.marks)
+        self.assertEqual({}, table.known_holders)
 
 
 class EndedLivesTest(unittest.TestCase):
--- a/tests/runtime/test_seatsystem.py
+++ b/tests/runtime/test_seatsystem.py
@@ -265,7 +265,7 @@
             for to, m in told
             if to == two.peer
             and isinstance(m, SeatHolderRecords)
-            and any(mark.epoch >= 2 * CLAIM_EPOCHS for mark in m.marks)
+            and any(mark.epoch >= 2 * CLAIM_EPOCHS for mark in m.known_holders)
         ]
         self.assertGreaterEqual(len(gained_seats), 4)
 
