--- a/chiverun/core/membership.py
+++ b/chiverun/core/membership.py
@@ -8,8 +8,8 @@
 import math
 import random
 
+from chiverun.core.ids import BootId
 from chiverun.core.ids import InstanceId
-from chiverun.core.ids import LifeId
 from chiverun.core.ids import ZoneName
 from chiverun.core.messages import Advert
 from chiverun.core.messages import MemberState
@@ -66,8 +66,8 @@
     if row.advert is None or row.advert.leaving != advert.leaving:
         table.version += 1
     row.advert = advert
-    if row.life != advert.life:
-        row.life = advert.life
+    if row.boot_id != advert.boot_id:
+        row.boot_id = advert.boot_id
         row.noted_sequence = table.sequence
     if row.zone != advert.zone:
         row.zone = advert.zone
@@ -142,7 +142,7 @@
     )
 
 
-def take_updates(
+def next_updates(
     table: MemberTable, about: InstanceId | None = None
 ) -> tuple[MemberUpdate, ...]:
     """Return the updates for a message, least often sent first.
@@ -205,7 +205,7 @@
         _set_state(table, row, MemberState.SUSPECT, now)
 
 
-def forget_silence(table: MemberTable, now: float) -> None:
+def reset_failure_detection(table: MemberTable, now: float) -> None:
     """Begin anew to wait for answers after a pause of this process.
 
     The silence of others while this process could not hear them proves
@@ -234,7 +234,7 @@
     return due
 
 
-def note_answer(
+def record_ack(
     table: MemberTable, sender: Advert, sequence: int, now: float
 ) -> None:
     """Draw conclusions from an answer to this instance's ping `sequence`.
@@ -244,11 +244,11 @@
     a suspect again.
     """
     for row in list(table.rows.values()):
-        if row.peer != sender.peer or row.life is None:
+        if row.peer != sender.peer or row.boot_id is None:
             continue
-        if row.life != sender.life:
+        if row.boot_id != sender.boot_id:
             if row.noted_sequence < sequence:
-                note_ended(table, row.life)
+                note_ended(table, row.boot_id)
                 if row.advert is None:
                     table.remove(row.instance)
             continue
@@ -262,9 +262,9 @@
         row.state_since = now
 
 
-def note_ended(table: MemberTable, life: LifeId) -> None:
+def note_ended(table: MemberTable, boot_id: BootId) -> None:
     """Keep a lifetime that has provably ended."""
-    table.ended[life] = None
+    table.ended[boot_id] = None
     while len(table.ended) > ENDED_KEPT:
         del table.ended[next(iter(table.ended))]
 
--- a/chiverun/core/messages.py
+++ b/chiverun/core/messages.py
@@ -11,8 +11,8 @@
 from chiverun.core.errors import ChiverunError
 from chiverun.core.errors import ResultCode
 from chiverun.core.ids import Address
+from chiverun.core.ids import BootId
 from chiverun.core.ids import InstanceId
-from chiverun.core.ids import LifeId
 from chiverun.core.ids import SeatIndex
 from chiverun.core.ids import ServerName
 from chiverun.core.ids import ServiceName
@@ -44,12 +44,12 @@
 class Advert(_Record):
     """What an instance says of itself; newest by (incarnation, sequence).
 
-    `room` is the number of its free slots by service, `age_ms` the time
+    `free_slots` is the number of its free slots by service, `age_ms` the time
     since the instance made the advert.
     """
 
     instance: InstanceId
-    life: LifeId
+    boot_id: BootId
     incarnation: int
     sequence: int
     zone: ZoneName
@@ -59,7 +59,7 @@
     peer: Address
     leaving: bool
     seats: tuple[SeatClaim, ...]
-    room: dict[ServiceName, int]
+    free_slots: dict[ServiceName, int]
     number: int
     age_ms: int = 0
 
@@ -72,7 +72,7 @@
     state: MemberState
 
 
-class DrainSign(_Record):
+class DrainNotice(_Record):
     """A backend server that said that it is leaving."""
 
     server: ServerName
@@ -82,16 +82,16 @@
 class Gossip(_Record):
     """What every ping and acknowledgement carries.
 
-    `marks_digest` is a hash of the sender's marks of its zone's seats.
+    `holders_digest` is a hash of the sender's marks of its zone's seats.
     """
 
     sender: Advert
     number: int
     digest: str
-    marks_digest: int = 0
+    holders_digest: int = 0
     updates: tuple[MemberUpdate, ...] = ()
     adverts: tuple[Advert, ...] = ()
-    draining: tuple[DrainSign, ...] = ()
+    draining: tuple[DrainNotice, ...] = ()
 
 
 class _Message(
@@ -162,7 +162,7 @@
     """Asks the holder of more seats for a part of them."""
 
     instance: InstanceId
-    life: LifeId
+    boot_id: BootId
     peer: Address
     held: int
 
@@ -178,35 +178,35 @@
     seat: SeatIndex
     epoch: int
     instance: InstanceId
-    life: LifeId
-    giver: Address
+    boot_id: BootId
+    previous_holder: Address
     short_ms: int
     long_ms: int
     sent_epoch_ms: int
 
 
-class SeatTaken(_Message, tag=12):
+class SeatTransferAck(_Message, tag=12):
     """Tells the giver of a seat that its transfer has arrived."""
 
     seat: SeatIndex
     epoch: int
-    life: LifeId
+    boot_id: BootId
 
 
-class SeatMark(_Record):
+class SeatHolderRecord(_Record):
     """The latest holder that the sender knows of a seat."""
 
     seat: SeatIndex
     epoch: int
-    life: LifeId
+    boot_id: BootId
 
 
-class SeatMarks(_Message, tag=11):
+class SeatHolderRecords(_Message, tag=11):
     """Marks of the seats of a zone, of which the receiver lacks some."""
 
     zone: ZoneName
     sender: Address
-    marks: tuple[SeatMark, ...]
+    known_holders: tuple[SeatHolderRecord, ...]
 
 
 Message = (
@@ -220,8 +220,8 @@
     | StateChunk
     | SeatRequest
     | SeatTransfer
-    | SeatMarks
-    | SeatTaken
+    | SeatHolderRecords
+    | SeatTransferAck
 )
 
 _ENCODER = msgspec.msgpack.Encoder(enc_hook=encode_hook)
--- a/chiverun/integrations/catalogstore.py
+++ b/chiverun/integrations/catalogstore.py
@@ -7,14 +7,14 @@
 if TYPE_CHECKING:
     from chiverun.core.catalog import Machine
     from chiverun.core.catalog import Revision
-    from chiverun.core.replica import Versioned
+    from chiverun.core.replica import VersionedRecord
 
 
 class CatalogUnavailable(Exception):
     """The store did not answer, or refused; nothing is known."""
 
 
-class HistoryGone(Exception):
+class HistoryCompacted(Exception):
     """The store no longer has the changes since a revision."""
 
 
@@ -22,7 +22,7 @@
 class Changes:
     """Records that changed up to a revision."""
 
-    items: "list[Versioned]"
+    items: "list[VersionedRecord]"
     as_of: "Revision"
 
 
--- a/chiverun/runtime/public.py
+++ b/chiverun/runtime/public.py
@@ -10,10 +10,10 @@
 from chiverun.core.lookup import answer_lookup
 from chiverun.core.lookup import parse_client
 from chiverun.core.ticket import Service
-from chiverun.integrations.web import error_reply
-from chiverun.integrations.web import Incoming
-from chiverun.integrations.web import json_reply
-from chiverun.integrations.web import Reply
+from chiverun.integrations.web import error_response
+from chiverun.integrations.web import IncomingRequest
+from chiverun.integrations.web import json_response
+from chiverun.integrations.web import Response
 from chiverun.runtime.status import make_status
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
 _COUNT = re.compile("[1-9][0-9]{0,3}")
 
 
-class Public:
+class LookupHandler:
     """Handler of the look-up address."""
 
     def __init__(
@@ -45,27 +45,27 @@
         self._ttl_s = ttl_s
         self._blocks = blocks
 
-    def handle(self, req: Incoming) -> Reply:
+    def handle(self, req: IncomingRequest) -> Response:
         """Answer by path; no request here runs on a backend server."""
         try:
             return self._handle(req)
         except ChiverunError as exc:
-            return error_reply(400, Outcome.NOT_RUN, exc.code, exc.message)
+            return error_response(400, Outcome.NOT_RUN, exc.code, exc.message)
 
-    def _handle(self, req: Incoming) -> Reply:
+    def _handle(self, req: IncomingRequest) -> Response:
         match (req.method, req.path):
             case ("GET", "/v1/lookup"):
                 return self._lookup(req)
             case ("POST", "/v1/keys"):
                 return self._issue(req)
             case ("GET", "/v1/status"):
-                return json_reply(make_status(self._sources))
+                return json_response(make_status(self._sources))
             case ("GET", "/healthz"):
-                return json_reply({"status": "ok"})
+                return json_response({"status": "ok"})
             case ("GET", "/readyz"):
                 return self._ready()
             case _:
-                return error_reply(
+                return error_response(
                     404,
                     Outcome.NOT_RUN,
                     ResultCode.REQUEST_MALFORMED,
@@ -74,7 +74,7 @@
                     "GET /healthz, GET /readyz",
                 )
 
-    def _lookup(self, req: Incoming) -> Reply:
+    def _lookup(self, req: IncomingRequest) -> Response:
         query = _query(req)
         snapshot = self._sources.plane.snapshot
         with self._telemetry.span("lookup", parent=req.headers):
@@ -89,15 +89,15 @@
             )
         self._telemetry.lookups.add(1)
         if not result.instances:
-            return error_reply(
+            return error_response(
                 503,
                 Outcome.NOT_RUN,
                 ResultCode.NOT_READY,
                 "no instance is known to serve",
             )
-        return json_reply(result)
+        return json_response(result)
 
-    def _issue(self, req: Incoming) -> Reply:
+    def _issue(self, req: IncomingRequest) -> Response:
         text = _query(req).get("count", "1")
         if not _COUNT.fullmatch(text) or int(text) > KEYS_PER_CALL_MAX:
             raise ChiverunError(
@@ -105,7 +105,7 @@
                 f"count is {text!r}; valid: 1 to {KEYS_PER_CALL_MAX}",
             )
         if self._sources.plane.is_leaving:
-            return error_reply(
+            return error_response(
                 503,
                 Outcome.NOT_RUN,
                 ResultCode.LEAVING,
@@ -115,7 +115,7 @@
         if reasons:
             # A request with such a key would be refused here, and peers that
             # do not know this instance yet could not tell that it never ran.
-            return error_reply(
+            return error_response(
                 503,
                 Outcome.NOT_RUN,
                 ResultCode.NOT_READY,
@@ -124,13 +124,13 @@
         identity = self._sources.plane.identity
         keys = self._keys.issue(int(text))
         if not keys:
-            return error_reply(
+            return error_response(
                 503,
                 Outcome.NOT_RUN,
                 ResultCode.NO_CAPACITY,
                 "the key table is full; ask another instance",
             )
-        return json_reply(
+        return json_response(
             {
                 "keys": keys,
                 "entry": identity.entry,
@@ -138,7 +138,7 @@
             }
         )
 
-    def _ready(self) -> Reply:
+    def _ready(self) -> Response:
         """Ready means: can serve, holds confirmed seats, is not leaving."""
         plane = self._sources.plane
         reasons = self._unready()
@@ -148,7 +148,7 @@
             reasons.append("the instance is leaving")
         if plane.fork:
             reasons.append(plane.fork)
-        return json_reply(
+        return json_response(
             {"ready": not reasons, "reasons": reasons},
             status=503 if reasons else 200,
         )
@@ -164,7 +164,7 @@
         return reasons
 
 
-def _query(req: Incoming) -> dict[str, str]:
+def _query(req: IncomingRequest) -> dict[str, str]:
     return dict(urllib.parse.parse_qsl(req.query))
 
 
--- a/chiverun/runtime/seattransfer.py
+++ b/chiverun/runtime/seattransfer.py
@@ -9,13 +9,13 @@
 from chiverun.core.ids import SeatIndex
 from chiverun.core.messages import MemberState
 from chiverun.core.messages import SeatRequest
-from chiverun.core.messages import SeatTaken
 from chiverun.core.messages import SeatTransfer
+from chiverun.core.messages import SeatTransferAck
 from chiverun.core.tables import Held
-from chiverun.core.tables import Mark
 from chiverun.core.tables import Member
 from chiverun.core.tables import Owner
 from chiverun.core.tables import Releasing
+from chiverun.core.tables import SeatHolder
 from chiverun.core.tables import Transfer
 from chiverun.core.ticket import Zone
 from chiverun.runtime.events import SeatsWritten
@@ -47,7 +47,7 @@
         rich.peer,
         SeatRequest(
             instance=ctx.identity.instance,
-            life=ctx.identity.life,
+            boot_id=ctx.identity.boot_id,
             peer=ctx.identity.peer,
             held=len(ctx.seats.held),
         ),
@@ -61,14 +61,14 @@
     hold, or that are on the way to it, count as well.
     """
     row = ctx.members.rows.get(message.instance)
-    if row is None or not row.is_live or row.life != message.life:
+    if row is None or not row.is_live or row.boot_id != message.boot_id:
         return
     seats = ctx.seats
     if seats.releasing or seats.suspended_at is not None or ctx.is_leaving:
         return
     known = len(row.advert.seats) if row.advert else 0
     under_way = sum(
-        1 for t in seats.transfers.values() if t.life == message.life
+        1 for t in seats.transfers.values() if t.boot_id == message.boot_id
     )
     count = len(seats.held) - max(message.held, known) - under_way
     # Every other seat: neighbouring seats share one server's slots.
@@ -82,8 +82,8 @@
     held = ctx.seats.held.pop(seat)
     ctx.seats.releasing[seat] = Releasing(
         epoch=held.epoch,
-        short_from=held.short_from,
-        long_from=held.long_from,
+        short_opens_at=held.short_opens_at,
+        long_opens_at=held.long_opens_at,
         receiver=receiver,
     )
 
@@ -111,7 +111,7 @@
 
 def finish_releases(ctx: "ControlContext", now: float) -> None:
     """Hand over released seats whose work has ended."""
-    given_up = {}
+    released = {}
     owners = {}
     for seat, releasing in list(ctx.seats.releasing.items()):
         if not releasing.is_published:
@@ -123,14 +123,14 @@
         if receiver is not None:
             owners[seat] = _hand_to(ctx, receiver, seat, releasing)
         elif ctx.is_leaving:
-            given_up[seat] = releasing.epoch
+            released[seat] = releasing.epoch
         else:
             ctx.seats.held[seat] = Held(
                 epoch=releasing.epoch,
-                short_from=releasing.short_from,
-                long_from=releasing.long_from,
+                short_opens_at=releasing.short_opens_at,
+                long_opens_at=releasing.long_opens_at,
             )
-    queue_write(ctx, owners, given_up)
+    queue_write(ctx, owners, released)
 
 
 def _receiver(ctx: "ControlContext", releasing: Releasing) -> Member | None:
@@ -147,12 +147,12 @@
     epoch = releasing.epoch + 1
     ctx.seats.transfers[seat] = Transfer(
         epoch=epoch,
-        short_from=releasing.short_from,
-        long_from=releasing.long_from,
+        short_opens_at=releasing.short_opens_at,
+        long_opens_at=releasing.long_opens_at,
         receiver=row.instance,
-        life=row.life,
+        boot_id=row.boot_id,
     )
-    seat_rules.note_mark(ctx.seats, seat, Mark(epoch, row.life))
+    seat_rules.record_holder(ctx.seats, seat, SeatHolder(epoch, row.boot_id))
     return member_owner(row, epoch)
 
 
@@ -163,7 +163,7 @@
         if (
             row is None
             or not row.is_live
-            or row.life != transfer.life
+            or row.boot_id != transfer.boot_id
             or _has_arrived(ctx, seat, transfer)
         ):
             del ctx.seats.transfers[seat]
@@ -179,10 +179,10 @@
         seat=seat,
         epoch=transfer.epoch,
         instance=transfer.receiver,
-        life=transfer.life,
-        giver=ctx.identity.peer,
-        short_ms=_left_ms(transfer.short_from, now),
-        long_ms=_left_ms(transfer.long_from, now),
+        boot_id=transfer.boot_id,
+        previous_holder=ctx.identity.peer,
+        short_ms=_left_ms(transfer.short_opens_at, now),
+        long_ms=_left_ms(transfer.long_opens_at, now),
         sent_epoch_ms=int(ctx.clock.wall() * 1000),
     )
 
@@ -195,7 +195,7 @@
     ctx: "ControlContext", seat: SeatIndex, transfer: Transfer
 ) -> bool:
     row = ctx.members.rows[transfer.receiver]
-    known = ctx.seats.marks.get(seat)
+    known = ctx.seats.known_holders.get(seat)
     if known is not None and known.epoch > transfer.epoch:
         return True
     claims = row.advert.seats if row.advert else ()
@@ -205,7 +205,7 @@
 def on_seat_transfer(ctx: "ControlContext", message: SeatTransfer) -> None:
     """Take a seat over; a repeated or late message changes nothing."""
     zone = ctx.state.of(Zone).get(ctx.identity.zone)
-    if message.life != ctx.identity.life or zone is None:
+    if message.boot_id != ctx.identity.boot_id or zone is None:
         return
     if not 0 <= message.seat < zone.seats:
         return
@@ -216,14 +216,16 @@
             extra={"seat": message.seat, "age_s": round(age_s, 3)},
         )
         return
-    taken = SeatTaken(
-        seat=message.seat, epoch=message.epoch, life=message.life
+    taken = SeatTransferAck(
+        seat=message.seat, epoch=message.epoch, boot_id=message.boot_id
     )
     if message.epoch <= ctx.seats.taken.get(message.seat, 0):
-        ctx.send(message.giver, taken)
+        ctx.send(message.previous_holder, taken)
         return
-    known = ctx.seats.marks.get(message.seat)
-    if known is not None and known > Mark(message.epoch, message.life):
+    known = ctx.seats.known_holders.get(message.seat)
+    if known is not None and known > SeatHolder(
+        message.epoch, message.boot_id
+    ):
         return
     now = ctx.clock.monotonic()
     ctx.seats.taken[message.seat] = message.epoch
@@ -234,34 +236,34 @@
         now + message.long_ms / 1000.0,
     )
     gain(ctx, message.seat, message.epoch)
-    ctx.send(message.giver, taken)
+    ctx.send(message.previous_holder, taken)
     # The giver writes the record too, but may die before it can.
     owner = own_owner(ctx, message.epoch)
     queue_write(ctx, {message.seat: owner}, {})
 
 
-def on_seat_taken(ctx: "ControlContext", message: SeatTaken) -> None:
+def on_seat_taken(ctx: "ControlContext", message: SeatTransferAck) -> None:
     """End a transfer whose receiver has the seat."""
     transfer = ctx.seats.transfers.get(message.seat)
-    if transfer is not None and (transfer.epoch, transfer.life) == (
+    if transfer is not None and (transfer.epoch, transfer.boot_id) == (
         message.epoch,
-        message.life,
+        message.boot_id,
     ):
         del ctx.seats.transfers[message.seat]
 
 
 def gain(ctx: "ControlContext", seat: SeatIndex, epoch: int) -> None:
     """Note a seat that this instance holds from now on."""
-    mark = Mark(epoch, ctx.identity.life)
-    seat_rules.note_mark(ctx.seats, seat, mark)
-    ctx.seats.news[seat] = _NEWS_SENDS
+    mark = SeatHolder(epoch, ctx.identity.boot_id)
+    seat_rules.record_holder(ctx.seats, seat, mark)
+    ctx.seats.gained_seats[seat] = _NEWS_SENDS
 
 
 def member_owner(row: Member, epoch: int) -> Owner:
     """Return a member as the owner of a seat."""
     return Owner(
         instance=row.instance,
-        life=row.life,
+        boot_id=row.boot_id,
         incarnation=row.incarnation,
         peer=row.peer,
         epoch=epoch,
@@ -272,7 +274,7 @@
     """Return this instance as the owner of a seat."""
     return Owner(
         instance=ctx.identity.instance,
-        life=ctx.identity.life,
+        boot_id=ctx.identity.boot_id,
         incarnation=ctx.incarnation,
         peer=ctx.identity.peer,
         epoch=epoch,
@@ -285,27 +287,33 @@
 def queue_write(
     ctx: "ControlContext",
     owners: "Mapping[SeatIndex, Owner]",
-    given_up: "Mapping[SeatIndex, int]",
+    released: "Mapping[SeatIndex, int]",
 ) -> None:
     """Keep changes until they are written; later epochs replace earlier."""
     for seat, owner in owners.items():
         kept = ctx.seats.unwritten.get(seat)
         if kept is None or owner.epoch > kept.epoch:
             ctx.seats.unwritten[seat] = owner
-    ctx.seats.ungiven.update(given_up)
+    ctx.seats.unwritten_releases.update(released)
 
 
 def flush_writes(ctx: "ControlContext", now: float) -> None:
     """Submit one job with all kept changes, unless one is under way."""
     seats = ctx.seats
-    if not (seats.unwritten or seats.ungiven) or now < seats.write_at:
+    if (
+        not (seats.unwritten or seats.unwritten_releases)
+        or now < seats.write_at
+    ):
         return
     pending = seats.write_pending_since
     if pending is not None and now - pending < _WRITE_LIMIT_S:
         return
     seats.write_pending_since = now
     ctx.submit(
-        WriteSeats(owners=dict(seats.unwritten), given_up=dict(seats.ungiven))
+        WriteSeats(
+            owners=dict(seats.unwritten),
+            released=dict(seats.unwritten_releases),
+        )
     )
 
 
@@ -319,6 +327,6 @@
     for seat, owner in report.job.owners.items():
         if seats.unwritten.get(seat) == owner:
             del seats.unwritten[seat]
-    for seat, epoch in report.job.given_up.items():
-        if seats.ungiven.get(seat) == epoch:
-            del seats.ungiven[seat]
+    for seat, epoch in report.job.released.items():
+        if seats.unwritten_releases.get(seat) == epoch:
+            del seats.unwritten_releases[seat]
--- a/standins/measure_real.py
+++ b/standins/measure_real.py
@@ -41,12 +41,12 @@
 from chiverun.core.ticket import Zone
 from chiverun.core.work import Work
 from chiverun.integrations.backend import HttpBackends
-from chiverun.integrations.backend import Outgoing
+from chiverun.integrations.backend import OutgoingRequest
 from chiverun.integrations.network import AddressMap
 from chiverun.integrations.telemetry import Telemetry
 from chiverun.runtime.execution import Content
 from chiverun.runtime.execution import Executor
-from chiverun.runtime.execution import HedgeTerms
+from chiverun.runtime.execution import HedgeLimits
 
 SERVERS = 6
 SLOTS = 4
@@ -74,7 +74,8 @@
         self.clock = SystemClock()
         self._state = state
         self._seats = tuple(
-            HeldSeat(index=i, short_from=0.0, long_from=0.0) for i in seats
+            HeldSeat(index=i, short_opens_at=0.0, long_opens_at=0.0)
+            for i in seats
         )
         self.admission = Admission(
             zone="z", clock=self.clock, rng=random.Random(seed)
@@ -124,7 +125,7 @@
             ),
             frozenset(),
             may_wait=True,
-            hedge=HedgeTerms(attempts_left=2, budget=self._budget),
+            hedge=HedgeLimits(attempts_left=2, budget=self._budget),
         )
         return isinstance(attempt.end, Answered)
 
@@ -149,7 +150,7 @@
         with self._slots[server.name]:
             end = self._backends.exchange(
                 server.address,
-                Outgoing(
+                OutgoingRequest(
                     method="GET",
                     path=f"/{request_class.name}?token=t",
                     headers={"X-Request-Id": request_id},
