--- a/chiverun/core/admission.py
+++ b/chiverun/core/admission.py
@@ -2,8 +2,8 @@
 
 An instance uses only the slots of the seats it holds, so the sum over all
 instances of a zone never exceeds a server's slots. Counts are exact: a slot
-is busy from the grant until the exchange has provably ended at the server,
-which for an unknown outcome is the request's deadline.
+is busy from the grant until the exchange is known to have ended at the
+server. After an unknown outcome, that is the request's deadline.
 """
 
 import math
@@ -45,16 +45,16 @@
     from chiverun.core.clock import Clock
     from chiverun.core.snapshot import Snapshot
 
-# A snapshot older than this means that the control tick did not run: the
-# process was paused, and its seats may have been claimed.
+# An older snapshot means that the control loop has not run: the process was
+# paused, and other instances may have claimed its seats.
 PAUSE_LIMIT_S = 2.0
-# Covers clock differences between an instance and a backend server, which
+# Allowed clock difference between an instance and a backend server, which
 # enforces absolute deadlines.
 CLOCK_MARGIN_S = 0.25
 
 
 class Admission:
-    """Slots, caps and queues of this instance; thread-safe.
+    """Admit requests to the slots of this instance; thread-safe.
 
     Parameters
     ----------
@@ -62,10 +62,11 @@
         The zone of this instance.
     clock : Clock
     rng : random.Random
-        Source of the two candidates in the choice of a server.
+        Draws the two candidates in the choice of a server.
     waiters_max : int or None
-        Most requests of one service that wait. Each holds a thread of the
-        entry, and one overloaded service must not hold them all.
+        Maximum number of waiting requests of a service. Each of them holds
+        a thread of the entry, and one overloaded service must not hold all
+        threads.
     """
 
     def __init__(
@@ -98,7 +99,7 @@
         self._shift_caps = ShiftCaps(zone=zone)
 
     def update(self, snapshot: "Snapshot") -> None:
-        """Take over a newly published snapshot."""
+        """Apply a newly published snapshot."""
         now = self._clock.monotonic()
         with self._lock:
             layout = (snapshot.state.digest, snapshot.state.number)
@@ -115,18 +116,20 @@
     def try_acquire(
         self, work: Work, excluded: frozenset[ServerName] = frozenset()
     ) -> Grant:
-        """Take a slot now.
+        """Return a grant of a slot without waiting.
 
         Raises
         ------
         ChiverunError
-            With a 3xx code; the request was not run.
+            With a 3xx code; the request has not run.
         """
         now = self._clock.monotonic()
         with self._lock:
             self._check(work, now)
             if self._queues.length(work.key):
-                raise refusal(ResultCode.NO_CAPACITY, work, "queue waits")
+                raise refusal(
+                    ResultCode.NO_CAPACITY, work, "other requests are queued"
+                )
             grant = self._grant(work, excluded, now)
             if grant is None:
                 raise refusal(ResultCode.NO_CAPACITY, work, "no free slot")
@@ -135,12 +138,12 @@
     def acquire(
         self, work: Work, excluded: frozenset[ServerName] = frozenset()
     ) -> Grant:
-        """Take a slot, waiting while the deadline can be met.
+        """Return a grant, waiting while the deadline can be met.
 
         Raises
         ------
         ChiverunError
-            With a 3xx code; the request was not run.
+            With a 3xx code; the request has not run.
         """
         event = threading.Event()
         waiter = self.enqueue(work, event.set, excluded)
@@ -158,15 +161,16 @@
         notify: Callable[[], object],
         excluded: frozenset[ServerName] = frozenset(),
     ) -> Waiter[Work, Grant]:
-        """Ask for a slot; `notify` is called once when it is granted.
+        """Queue a request for a slot.
 
-        It is called under the lock of this object, also before `enqueue`
-        returns, and must not block.
+        `notify` is called once, when the slot is granted or the request is
+        rejected. The call is made under the lock of this object, possibly
+        before `enqueue` returns, so it must not block.
 
         Raises
         ------
         ChiverunError
-            With a 3xx code, if the request cannot be run in time.
+            With a 3xx code, if the request cannot run in time.
         """
         now = self._clock.monotonic()
         with self._lock:
@@ -189,15 +193,15 @@
         return waiter
 
     def withdraw(self, waiter: Waiter[Work, Grant]) -> None:
-        """Take a waiter out of its queue, if it is still there.
+        """Remove a waiter from its queue, if it is still queued.
 
-        A grant that came before stays with the waiter.
+        The waiter keeps a grant that it has already received.
         """
         with self._lock:
             self._queues.remove(waiter)
 
     def confirm(self, grant: Grant) -> bool:
-        """Check at the act of sending that the grant may still be used."""
+        """Return whether a grant is still valid, just before sending."""
         now = self._clock.monotonic()
         with self._lock:
             return (
@@ -212,7 +216,7 @@
             )
 
     def cancel(self, grant: Grant) -> None:
-        """Give back a grant that was not used."""
+        """Release a grant that was not used."""
         now = self._clock.monotonic()
         with self._lock:
             if self._grants.give_back(grant):
@@ -227,20 +231,20 @@
         cancelled: bool = False,
         ended: bool = False,
     ) -> None:
-        """Give back a slot and record how the exchange ended.
+        """Release a slot and record how the exchange ended.
 
         After an unknown outcome the server may still run the request, so
-        the slot stays occupied until its deadline has passed there.
+        the slot stays occupied until the deadline has passed at the server.
 
         Parameters
         ----------
         grant : Grant
         end : ExchangeEnd
         cancelled : bool
-            This instance cancelled the exchange, so its end says nothing
-            about the server but that it took at least this long.
+            Whether this instance cancelled the exchange. The elapsed time
+            is then only a lower bound of the server's running time.
         ended : bool
-            The server is known to run the request no longer.
+            Whether the server is known to have stopped the request.
         """
         now = self._clock.monotonic()
         with self._lock:
@@ -263,9 +267,9 @@
             self._serve(now)
 
     def expected_wait_s(self, work: Work) -> float:
-        """Return how long a request would wait here for a slot, in seconds.
+        """Return the expected wait for a slot, in seconds.
 
-        Infinite if no server is in use.
+        It is infinite if no server is usable.
         """
         now = self._clock.monotonic()
         with self._lock:
@@ -278,12 +282,12 @@
             return self._limits.expected_wait_s(work, queued, slots, now)
 
     def hedge_delay_s(self, work: Work) -> float | None:
-        """Return when a second attempt is due; None if nothing is learnt."""
+        """Return the delay of a hedge; None while samples are too few."""
         with self._lock:
             return self._times.hedge_delay_s(work.key)
 
     def mark_draining(self, server: ServerName) -> None:
-        """Note a server's own statement that it is leaving."""
+        """Record that a server has announced that it is draining."""
         now = self._clock.monotonic()
         with self._lock:
             health = self._health.get(server)
@@ -291,13 +295,13 @@
                 mark_draining(health, now)
 
     def draining_servers(self) -> frozenset[ServerName]:
-        """Return the servers that said that they are leaving."""
+        """Return the servers that have announced that they are draining."""
         now = self._clock.monotonic()
         with self._lock:
             return self._health.draining(now)
 
     def room(self) -> dict[ServiceName, int]:
-        """Return the free slots for short requests by service."""
+        """Return the number of free slots for short requests by service."""
         now = self._clock.monotonic()
         with self._lock:
             if not self._is_current(now):
@@ -320,25 +324,28 @@
             return self._grants.in_use()
 
     def seat_in_use(self, seat: SeatIndex) -> bool:
-        """Tell whether a server may still run work on a seat's slots.
+        """Return whether a server may still run requests on a seat's slots.
 
-        A unit of the region's cap that belongs to the seat counts as well.
+        A charged unit of the region's cap that belongs to the seat counts
+        as well.
         """
         now = self._clock.monotonic()
         with self._lock:
             self._grants.advance(now)
             return self._grants.seat_in_use(seat)
 
-    # Callers of the methods below hold the lock.
+    # The methods below are called with the lock held.
 
     def _check(self, work: Work, now: float) -> None:
         if not self._is_current(now):
-            raise refusal(ResultCode.NO_SEAT, work, "seats not confirmed")
+            raise refusal(ResultCode.NO_SEAT, work, "seats are not confirmed")
         if not self._snapshot.seats:
-            raise refusal(ResultCode.NO_SEAT, work, "no seat held")
+            raise refusal(ResultCode.NO_SEAT, work, "instance holds no seat")
         if now + self._times.expected_s(work.key, now) >= work.deadline:
             raise refusal(
-                ResultCode.DEADLINE_UNREACHABLE, work, "too little time left"
+                ResultCode.DEADLINE_UNREACHABLE,
+                work,
+                "time left is below the expected run time",
             )
         self._grants.advance(now)
 
@@ -395,7 +402,7 @@
         return self._health[name], self._slots.server(name)
 
     def _is_suspect(self, work: Work, now: float) -> bool:
-        """Tell whether a short class has to leave slots to the others."""
+        """Return whether a short class must leave slots to other classes."""
         service = self._snapshot.state.of(Service).get(work.service)
         if service is None:
             return False
@@ -423,7 +430,7 @@
         return late_refusal(waiter.work)
 
     def _rebuild(self, snapshot: "Snapshot", now: float) -> None:
-        """Lay out slots, health rows and caps anew after a change."""
+        """Rebuild slots, health rows and caps after a change of layout."""
         state = snapshot.state
         zone = state.of(Zone).get(self._zone)
         servers = [
--- a/chiverun/core/choice.py
+++ b/chiverun/core/choice.py
@@ -15,10 +15,10 @@
 from chiverun.core.slots import NameSet
 from chiverun.core.slots import ServerSlots
 
-# Draws before all servers with a free slot are looked at.
+# Random draws before all servers with a free slot are scanned.
 DRAWS_MAX = 8
-# Aged slowness at which a request that cannot be hedged probes as well, for
-# services that have no others.
+# Aged slowness below which a request that cannot be hedged may also probe a
+# server, for services without repeatable requests.
 PROBE_ANYWAY = 1.5
 
 Lookup = Callable[[ServerName], tuple[ServerHealth, ServerSlots]]
@@ -35,25 +35,25 @@
     *,
     may_probe: bool = True,
 ) -> ServerName | None:
-    """Choose a server: power of two choices by expected latency.
+    """Choose a server by the power of two choices.
 
     Parameters
     ----------
     free : NameSet
         Servers with a free slot for the request.
     members : Sequence[ServerName]
-        All servers of the service that have slots here.
+        All servers of the service with slots of this instance.
     lookup : Callable
-        Gives a server's health and slots.
+        Returns a server's health and slots.
     fits : Callable
-        Tells whether the request may go to a server at all: never to one
-        that is drained, excluded or whose remaining slots are kept free.
+        Returns whether the request may go to a server at all: false for
+        servers that drain, are excluded or must keep their last slots free.
     now : float
         Monotonic seconds.
     rng : random.Random
     may_probe : bool
-        Whether the request may probe a slow server. One that may be hedged
-        loses little by it.
+        Whether the request may probe a slow server. A request that may be
+        hedged loses little time.
     """
     first: ServerName | None = None
     draws = DRAWS_MAX if len(free) else 0
@@ -81,11 +81,11 @@
     rng: random.Random,
     may_probe: bool,
 ) -> ServerName | None:
-    """Look at all servers with a free slot.
+    """Choose among all servers with a free slot.
 
-    Slow servers are left out only while there is another server to wait
-    for; a wrong ejection of all must not stop a service, so one request at
-    a time is then tried on an ejected server.
+    Slow servers are skipped only while the service has a normal server to
+    wait for. Otherwise ejected servers get one request at a time, so that a
+    wrong ejection of all servers does not stop a service.
     """
     fitting = [name for name in free.names if fits(name)]
     usable = [
@@ -107,7 +107,7 @@
 
 
 def expected_slowness(lookup: Lookup, name: ServerName, now: float) -> float:
-    """Return the aged slowness, raised by the requests in flight."""
+    """Return the aged slowness, scaled by the requests in flight."""
     health, slots = lookup(name)
     load = slots.in_flight / max(1, slots.mine)
     return aged_slowness(health, now) * (1.0 + load)
@@ -131,7 +131,7 @@
     if standing(health, now) is not Standing.OPEN:
         return False
     if is_slow(health):
-        # One probe once the estimate has aged.
+        # A single probe is allowed once the estimate has decayed.
         limit = SLOW_FACTOR if may_probe else PROBE_ANYWAY
         return slots.in_flight == 0 and aged_slowness(health, now) <= limit
     share = slow_start_share(health, now)
--- a/chiverun/core/grants.py
+++ b/chiverun/core/grants.py
@@ -1,7 +1,7 @@
 """Grants in use: the slots and cap units that requests hold.
 
-A slot is busy from the grant until its exchange has provably ended at the
-server, or until a time after which nothing can run there any more.
+A slot is busy from the grant until its exchange is known to have ended at the
+server, or until a time after which the request cannot run there any more.
 """
 
 import heapq
@@ -36,7 +36,7 @@
         self._numbers = 0
 
     def take(self, work: Work, name: ServerName, now: float) -> Grant:
-        """Take a free slot of a server and a unit of the region's cap."""
+        """Allocate a free slot of a server and a unit of the region's cap."""
         slot = self.slots.take(name, is_long=work.is_long)
         self._numbers += 1
         grant = Grant(
@@ -58,18 +58,18 @@
         return grant
 
     def give_back(self, grant: Grant) -> bool:
-        """Note that a request is done with a grant; False if it was before.
+        """Release a grant; return False if it has been released before.
 
-        Its slot stays busy until `end`, or as `occupy` says.
+        The slot stays busy until `end`, or the time given to `occupy`.
         """
         return self._busy.pop(grant.number, None) is not None
 
     def occupy(self, grant: Grant, until: float) -> None:
-        """Keep the slot busy until a time: the server may still run it."""
+        """Keep a slot busy until a time; the server may still run it."""
         heapq.heappush(self._occupied, (until, grant.number, grant))
 
     def end(self, grant: Grant) -> None:
-        """Free what a grant holds; its exchange has provably ended."""
+        """Free the slot and unit of a grant whose exchange has ended."""
         self.slots.free((grant.server.name, grant.slot))
         self.units.refund(grant.unit)
         server = self._overdue.end(grant.number)
@@ -77,7 +77,7 @@
             self._count_overdue(server, -1)
 
     def advance(self, now: float) -> None:
-        """Apply what time has changed."""
+        """Open and free slots, and mark requests overdue, up to `now`."""
         for name in self._overdue.advance(now):
             self._count_overdue(name, 1)
         self.slots.advance(now)
@@ -89,11 +89,11 @@
         return len(self._busy)
 
     def seat_in_use(self, seat: SeatIndex) -> bool:
-        """Tell whether a slot or a unit of a seat is busy."""
+        """Return whether a slot or a unit of a seat is busy."""
         return self.slots.seat_in_use(seat) or self.units.in_use(seat)
 
     def is_suspect(self, key: QueueKey, slots: int, now: float) -> bool:
-        """Tell whether a class has many overdue requests, or had lately."""
+        """Return whether a class has or recently had many overdue requests."""
         return self._overdue.is_suspect(key, slots, now)
 
     def _count_overdue(self, name: ServerName, change: int) -> None:
--- a/chiverun/core/health.py
+++ b/chiverun/core/health.py
@@ -1,7 +1,7 @@
-"""Health of backend servers as seen by this instance.
+"""Health of backend servers as observed by this instance.
 
-An instance's own requests are the fresh signal. Load reports lag and are
-not used to attract traffic.
+Health is estimated from the instance's own requests. Load reports are
+delayed and never attract traffic.
 """
 
 import dataclasses
@@ -22,29 +22,28 @@
 
 SLOWNESS_WEIGHT = 0.3
 SLOWNESS_MAX = 100.0
-# Latency counted for a failed exchange: a server that fails fast must not
-# look fast.
+# Minimum latency recorded for a failed exchange: a server that fails fast
+# must not appear to be fast.
 FAILURE_LATENCY_S = 1.0
-# A server this many times slower than the class usually is gets no requests
-# but single probes.
+# A server slower than usual by this factor receives only single probes.
 SLOW_FACTOR = 3.0
-# Half-life of an estimate that gets no samples, so that a server that has
-# become fast again is noticed. It doubles with each probe that was slow: at a
-# constant one, probes of lasting slow servers made up 1% of the requests.
+# Half-life of an estimate without new samples, so that the recovery of a
+# server is detected. It doubles with each slow probe: with a constant
+# half-life, probes of servers that stay slow were 1% of the requests.
 SLOWNESS_HALF_LIFE_S = 2.0
 SLOW_STREAK_MAX = 3
 EJECT_AFTER_FAILURES = 3
 EJECT_S = 2.0
 EJECT_MAX_S = 30.0
 SLOW_START_S = 5.0
-# A drain sign seen on an exchange or a health check holds this long, so that
-# one lagging "healthy" report does not bring the server back.
+# Validity of a drain sign from an exchange or a health check, so that one
+# delayed "healthy" report does not restore the server.
 DRAIN_SIGN_S = 10.0
 SHED_PAUSE_S = 0.2
 
 
 class Standing(enum.Enum):
-    """Whether a server may be chosen."""
+    """Whether a server may be chosen for requests."""
 
     OPEN = "open"
     EJECTED = "ejected"
@@ -53,11 +52,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class ServerHealth:
-    """Row of a backend server; times are monotonic seconds.
+    """Health of a backend server; times are monotonic seconds.
 
-    `slowness` is the smoothed ratio of latency to what is usual for the
-    class of each request, so that servers compare equally whatever mix of
-    short and long requests they ran.
+    `slowness` is the smoothed ratio of a request's latency to the usual
+    latency of its class, so that servers with different mixes of short and
+    long requests are comparable.
     """
 
     name: "ServerName"
@@ -89,7 +88,7 @@
     usual_s: float,
     now: float,
 ) -> None:
-    """Record how an exchange ended; `usual_s` is its class's usual time."""
+    """Record how an exchange ended; `usual_s` is its class's usual latency."""
     match end:
         case Shed(reason=ShedReason.DRAINING):
             mark_draining(row, now)
@@ -98,7 +97,7 @@
         case Shed():
             pass
         case TimedOut() if latency_s < SLOW_FACTOR * usual_s:
-            # A caller's deadline was short; the server may be all right.
+            # The caller's deadline was short; the server may be healthy.
             pass
         case _:
             _record_exchange(row, end, latency_s, usual_s, now)
@@ -119,7 +118,7 @@
         row.failures = 0
         row.ejections = 0
         return
-    # One time-out may be a slow request; several failures in a row are not.
+    # A single timeout may be a slow request, so it does not eject the server.
     row.failures += 1
     if row.failures >= EJECT_AFTER_FAILURES or (
         not isinstance(end, TimedOut) and row.samples == 1
@@ -130,7 +129,7 @@
 def observe(
     row: ServerHealth, latency_s: float, usual_s: float, now: float
 ) -> None:
-    """Add a latency, or a lower bound of one that is above the estimate."""
+    """Add a latency sample, or a lower bound above the estimate."""
     if usual_s <= 0.0:
         return
     sample = min(SLOWNESS_MAX, latency_s / usual_s)
@@ -141,9 +140,9 @@
 def observe_at_least(
     row: ServerHealth, latency_s: float, usual_s: float, now: float
 ) -> None:
-    """Add the time that a cancelled exchange had run for.
+    """Add the elapsed time of a cancelled exchange.
 
-    It is no sign of recovery, so it keeps an older, higher estimate.
+    It is no sign of recovery, so it never lowers the estimate.
     """
     if usual_s <= 0.0:
         return
@@ -166,21 +165,21 @@
 
 
 def aged_slowness(row: ServerHealth, now: float) -> float:
-    """Return the estimate, moved towards 1 as it gets old."""
+    """Return the estimate, which decays towards 1 with its age."""
     age_s = max(0.0, now - row.measured_at)
     half_life_s = SLOWNESS_HALF_LIFE_S * 2**row.slow_streak
     return 1.0 + (row.slowness - 1.0) * 0.5 ** (age_s / half_life_s)
 
 
 def is_slow(row: ServerHealth) -> bool:
-    """Tell whether the last estimate, however old, is slow."""
+    """Return whether the last estimate is slow, regardless of its age."""
     return row.slowness > SLOW_FACTOR
 
 
 def eject(row: ServerHealth, now: float) -> None:
-    """Take a server out for a time that doubles with each ejection."""
-    # The exponent is bounded: a float cannot hold 2**1024, which a server
-    # that stays dead for hours would reach.
+    """Eject a server for a time that doubles with each ejection."""
+    # The exponent is bounded: a server that is down for hours would reach
+    # 2**1024, which overflows a float.
     pause_s = min(EJECT_MAX_S, EJECT_S * 2 ** min(row.ejections, 10))
     row.ejected_until = now + pause_s
     row.returned_at = row.ejected_until
@@ -189,7 +188,7 @@
 
 
 def mark_draining(row: ServerHealth, now: float) -> None:
-    """Note that the server said itself that it is leaving."""
+    """Record that the server has announced that it is draining."""
     row.draining_until = now + DRAIN_SIGN_S
     row.returned_at = row.draining_until
 
@@ -199,10 +198,10 @@
     names: Iterable["ServerName"],
     now: float,
 ) -> None:
-    """Begin the slow start of servers that may be chosen again.
+    """Start the slow start of servers that may be chosen again.
 
-    A sign from a peer, the instance list or a ticket leaves no mark in the
-    row of an instance that did not see the server drain itself.
+    A drain announced by a peer, the instance list or a ticket is not recorded
+    in the server's row, so the row alone does not show the return.
     """
     for name in names:
         row = rows.get(name)
@@ -211,7 +210,7 @@
 
 
 def slow_start_share(row: ServerHealth, now: float) -> float:
-    """Return the part of its slots that a returning server may use."""
+    """Return the usable share of a returning server's slots, 0 to 1."""
     age_s = now - row.returned_at
     if age_s >= SLOW_START_S:
         return 1.0
--- a/chiverun/core/healthtable.py
+++ b/chiverun/core/healthtable.py
@@ -1,4 +1,4 @@
-"""Health rows of the backend servers of a zone."""
+"""Health of the backend servers of a zone."""
 
 from typing import TYPE_CHECKING
 
@@ -15,16 +15,17 @@
 
 
 class HealthTable(dict[ServerName, ServerHealth]):
-    """Rows by server name."""
+    """Health rows by server name."""
 
     def __init__(self) -> None:
         super().__init__()
         self._out: frozenset[ServerName] = frozenset()
 
     def rebuild(self, servers: list[Server], now: float) -> None:
-        """Keep the rows of known servers; start new ones slowly.
+        """Keep the rows of known servers; new servers get a slow start.
 
-        The servers of a new instance are new to it and not cold.
+        The servers that a starting instance finds are not cold, so they get
+        none.
         """
         old = dict(self)
         is_running = any(row.samples for row in old.values())
@@ -38,7 +39,7 @@
             self[server.name] = row
 
     def note_returned(self, snapshot: "Snapshot", now: float) -> None:
-        """Begin the slow start of servers that no longer drain."""
+        """Start the slow start of servers that no longer drain."""
         leaving = snapshot.leaving_servers
         servers = snapshot.state.of(Server)
         out = frozenset(
@@ -50,7 +51,7 @@
         self._out = out
 
     def draining(self, now: float) -> frozenset[ServerName]:
-        """Return the servers that said that they are leaving."""
+        """Return the servers that have announced that they are draining."""
         return frozenset(
             name
             for name, row in self.items()
@@ -60,7 +61,7 @@
     def may_use(
         self, snapshot: "Snapshot", name: ServerName, now: float
     ) -> bool:
-        """Tell whether a server may get requests."""
+        """Return whether a server may receive requests."""
         current = snapshot.state.of(Server).get(name)
         return (
             current is not None
--- a/chiverun/core/links.py
+++ b/chiverun/core/links.py
@@ -1,4 +1,4 @@
-"""Rates of the links between regions, divided over seats."""
+"""Byte rates of the links between regions, divided over seats."""
 
 import dataclasses
 import threading
@@ -21,46 +21,45 @@
     from chiverun.core.snapshot import Snapshot
 
 _BYTES_PER_MBIT = 125_000
-# The rest is for what instances tell each other, which is not admitted.
+# The rest is for messages between instances, which are not admitted.
 _REQUEST_SHARE = 0.95
-# Start line, framing, and headers that the libraries add.
+# Start line, framing and headers added by the HTTP libraries.
 _OVERHEAD_BYTES = 1024
-# A waiting message looks again after this, since the rate may have changed.
+# Maximum wait of a message before it checks again, since the rate may change.
 _RECHECK_S = 0.25
-# The expected size of a class is the largest response seen, with a margin.
-# It fades, so that one large response does not close a link for its class.
+# The expected size of a class is its largest response, with a margin. It
+# decays, so that one large response does not block the class on a link.
 _SIZE_HALVES_IN_S = 60.0
 _SIZE_MARGIN = 1.5
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Reservation:
-    """Bytes admitted to a link, until their message is booked."""
+    """Bytes admitted to a link until the message is booked."""
 
     rate: ByteRate
     most: int
 
 
 def message_bytes(headers: Iterable[tuple[str, str]], body: bytes) -> int:
-    """Return the bytes that a message counts on a link, at least."""
+    """Return the minimum number of bytes of a message on a link."""
     lines = sum(len(name) + len(value) + 4 for name, value in headers)
     return _OVERHEAD_BYTES + lines + len(body)
 
 
 class ResponseSizes:
-    """Expected sizes of responses, by a class's name.
+    """Expected response sizes by class name.
 
-    Reserving the largest size a class may have for each of its responses
-    would keep a link nearly empty when few responses are that large. The
-    rate is kept by booking true sizes; a response above the expected size
-    waits longer.
+    Reserving the maximum size for each response would leave a link nearly
+    idle when few responses are that large. Booking actual sizes keeps the
+    rate; a response above the expected size waits longer.
     """
 
     def __init__(self) -> None:
         self._largest: dict[str, tuple[float, float]] = {}
 
     def expected(self, name: str, now: float) -> int | None:
-        """Return the expected bytes, None if no response was seen."""
+        """Return the expected bytes; None before the first response."""
         if name not in self._largest:
             return None
         size, seen_at = self._largest[name]
@@ -68,7 +67,7 @@
         return int(faded * _SIZE_MARGIN)
 
     def note(self, name: str, actual: int, now: float) -> None:
-        """Note the size of a response."""
+        """Record the size of a response."""
         expected = self.expected(name, now) or 0
         if actual * _SIZE_MARGIN >= expected:
             self._largest[name] = (float(actual), now)
@@ -93,10 +92,10 @@
         self._usable_until = float("-inf")
 
     def update(self, snapshot: "Snapshot") -> None:
-        """Take over the portions of a newly published snapshot.
+        """Apply the portions of a newly published snapshot.
 
-        A seat counts once it is open: until then its earlier holder may
-        still send what it has booked.
+        A seat counts once it is open. Before that, its earlier holder may
+        still send booked messages.
         """
         state = snapshot.state
         zone = state.of(Zone).get(self._zone)
@@ -120,7 +119,7 @@
                 rate = self._rates.setdefault(target, ByteRate(bytes_per_s=0))
                 rate.set_rate(now, portion)
             for target in set(self._rates) - set(portions):
-                # Messages that wait for a removed link are not sent.
+                # Messages waiting for a removed link are never sent.
                 self._rates.pop(target).set_rate(now, 0)
             self._usable_until = (
                 snapshot.published_at + PAUSE_LIMIT_S
@@ -133,8 +132,8 @@
     ) -> Reservation | None:
         """Admit a message of at most `most` bytes to another region.
 
-        Nothing is admitted after a pause of this process, since its seats
-        may have been claimed.
+        After a pause of this process no message is admitted, since other
+        instances may have claimed its seats.
         """
         with self._lock:
             now = self._clock.monotonic()
@@ -150,8 +149,8 @@
     ) -> Reservation | None:
         """Admit the response to a request of a class before it runs.
 
-        A class whose responses are larger than what a second of this
-        portion carries is refused, since they could not be sent.
+        A class whose responses exceed one second of this portion is
+        rejected, since such responses cannot be sent.
         """
         most += _OVERHEAD_BYTES
         with self._lock:
@@ -164,19 +163,19 @@
         return self.reserve(target, most, limit_s)
 
     def note_response(self, name: str, actual: int) -> None:
-        """Note the true size of a response of a class."""
+        """Record the actual size of a response of a class."""
         with self._lock:
             self._sizes.note(name, actual, self._clock.monotonic())
 
     def cancel(self, reservation: Reservation) -> None:
-        """Give back a reservation whose message is not sent."""
+        """Release a reservation whose message will not be sent."""
         with self._lock:
             reservation.rate.admitted -= reservation.most
 
     def pace(
         self, reservation: Reservation, actual: int, deadline: float
     ) -> bool:
-        """Wait until a message may be sent; False if not by `deadline`."""
+        """Wait until a message may be sent; return False after `deadline`."""
         rate = reservation.rate
         with self._lock:
             now = self._clock.monotonic()
@@ -195,7 +194,7 @@
             return rate.try_send(self._clock.monotonic(), booking)
 
     def headroom(self) -> dict[RegionName, float]:
-        """Return the free part of each link's portion, from 0 to 1."""
+        """Return the free share of each link's portion, from 0 to 1."""
         now = self._clock.monotonic()
         with self._lock:
             return {t: r.headroom(now) for t, r in self._rates.items()}
--- a/chiverun/core/loads.py
+++ b/chiverun/core/loads.py
@@ -1,23 +1,24 @@
-"""Load of a backend server as this machine can know it."""
+"""Load of a backend server as estimated by this machine."""
 
 import dataclasses
 
-# Half-life of what a server said of the requests of others.
+# Half-life of a server's report about requests of other machines.
 REPORT_HALF_LIFE_S = 0.5
 
 
 @dataclasses.dataclass(kw_only=True)
 class LoadEstimate:
-    """Requests at a server: own ones exactly, others from its reports."""
+    """Requests at a server: an exact own count and a reported rest."""
 
     in_flight: int = 0
     others: float = 0.0
     reported_at: float = float("-inf")
 
     def report(self, running: int, waiting: int, now: float) -> None:
-        """Take over a report that came with a response.
+        """Apply a load report that arrived with a response.
 
-        The response's own request is no longer counted on either side.
+        Neither the report nor `in_flight` counts the request of that
+        response.
         """
         self.others = max(0.0, running + waiting - self.in_flight)
         self.reported_at = now
--- a/chiverun/core/lookup.py
+++ b/chiverun/core/lookup.py
@@ -23,10 +23,10 @@
 
 
 class BlockTables:
-    """The block table of the present sites; thread-safe.
+    """The address block table of the current sites; thread-safe.
 
-    A large change of the table takes long, so one thread makes it while the
-    others go on with what is there.
+    A large update of the table is slow, so one thread updates it while other
+    threads keep using the previous table.
     """
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
         self._table = BlockTable()
 
     def get(self, state: "State") -> BlockTable:
-        """Return the table, updated when sites have changed."""
+        """Return the table, after an update if the sites have changed."""
         sites = state.of(Site)
         is_first = self._sites is None
         if sites is not self._sites and self._lock.acquire(blocking=is_first):
@@ -51,7 +51,7 @@
 def origin_region(
     state: "State", table: BlockTable, remote: str
 ) -> "RegionName | None":
-    """Return the region of a caller's address, None if no block has it."""
+    """Return the region of a caller's address; None if it is unlisted."""
     try:
         zone = table.find(int(ipaddress.IPv4Address(remote)))
     except ValueError:
@@ -66,19 +66,19 @@
 
 
 def parse_client(text: str) -> int:
-    """Parse a client's IPv4 address; raises CLIENT_INVALID."""
+    """Parse a client's IPv4 address; raise CLIENT_INVALID on failure."""
     try:
         return int(ipaddress.IPv4Address(text))
     except ValueError as exc:
         raise ChiverunError(
             ResultCode.CLIENT_INVALID,
-            f"client is {text!r}; valid: an IPv4 address",
+            f"client is {text!r}; expected an IPv4 address",
         ) from exc
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LookupResult:
-    """Entry instances to use, best first, and for how long (seconds)."""
+    """Entry addresses, best first, valid for `ttl_s` seconds."""
 
     instances: tuple["Address", ...]
     ttl_s: float
@@ -94,8 +94,8 @@
 ) -> LookupResult:
     """Answer a look-up with instances near the client's zone.
 
-    The client's zone comes first, then its region, then all others; an
-    unlisted client is treated as a client of this instance's zone.
+    The client's zone comes first, then its region, then all others. An
+    unlisted client is treated as a client of the zone `home`.
     """
     zone = table.find(client) or home
     addresses: list[Address] = []
@@ -115,14 +115,14 @@
     region = known.region if known else None
     views = snapshot.zones.values()
     return sorted(
-        # With all zones drained, any answer is better than none.
+        # If all zones are drained, return drained ones rather than none.
         [v for v in views if not v.is_drained] or views,
         key=lambda v: (v.zone != zone, v.region != region, v.zone),
     )
 
 
 def _rotated(view: "ZoneView", client: int) -> list:
-    """Spread clients over a zone's instances without any shared state."""
+    """Rotate a zone's instances by client, to spread clients statelessly."""
     if not view.instances:
         return []
     first = (client * 2654435761 >> 8) % len(view.instances)
--- a/chiverun/core/membership.py
+++ b/chiverun/core/membership.py
@@ -1,8 +1,8 @@
 """SWIM failure detection within a zone, as functions over the member table.
 
-After Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent
-Infection-style Process Group Membership Protocol" (DSN 2002): the load of an
-instance does not grow with the size of the zone.
+The protocol follows Das, Gupta and Motivala, "SWIM: Scalable
+Weakly-consistent Infection-style Process Group Membership Protocol" (DSN
+2002). The load of an instance does not grow with the size of the zone.
 """
 
 import math
@@ -23,20 +23,20 @@
 INDIRECT_AFTER_S = 0.35
 INDIRECT_PROBES = 2
 SUSPECT_S = 4.0
-# Pings of this instance's own to a member that others declared dead.
+# Direct pings to a member that other instances have declared dead.
 CHECKS = 3
 CHECK_PERIOD_S = 0.4
 ENDED_KEPT = 256
 RELAYED_MAX = 256
 EXPIRE_PERIOD_S = 0.25
-# Instances known of each other zone.
+# Maximum number of known instances of each other zone.
 REMOTE_PER_ZONE = 4
-# Dead rows are kept so that late adverts do not bring them back, and so that
-# holders of seats stay known to claimants.
+# Dead rows are kept so that delayed adverts do not revive them, and so that
+# claimants still know the holders of seats.
 DEAD_KEPT_S = 600.0
-# Rows of other zones are dropped when nothing is heard of them.
+# Rows of other zones without a newer advert are removed after this time.
 REMOTE_KEPT_S = 60.0
-# Rows of other zones older than this give way to newly heard instances.
+# Rows of other zones older than this may be replaced by new instances.
 REMOTE_REPLACED_S = 10.0
 UPDATE_SENDS_FACTOR = 3
 UPDATES_PER_MESSAGE = 6
@@ -45,9 +45,10 @@
 def merge_advert(
     table: MemberTable, advert: Advert, zone: ZoneName, now: float
 ) -> bool:
-    """Take over an advert if it is newer; return whether it was.
+    """Merge an advert if it is newer; return whether it was merged.
 
-    Of each other zone than `zone` only a few instances are kept.
+    At most `REMOTE_PER_ZONE` instances of each zone other than `zone` are
+    kept.
     """
     row = table.rows.get(advert.instance)
     if row is None:
@@ -100,7 +101,7 @@
 
 
 def merge_update(table: MemberTable, update: MemberUpdate, now: float) -> bool:
-    """Take over a member update; return whether it changed a row."""
+    """Merge a member update; return whether it changed a row."""
     row = table.rows.get(update.instance)
     if row is None or not _overrides(update, row):
         return False
@@ -145,10 +146,10 @@
 def take_updates(
     table: MemberTable, about: InstanceId | None = None
 ) -> tuple[MemberUpdate, ...]:
-    """Return the updates for a message, least often sent first.
+    """Return the updates for the next message, least often sent first.
 
     An update about the receiver itself is always included, so that a live
-    member that is taken for dead can refute it.
+    member can refute its suspicion or death.
     """
     pending = sorted(table.updates.values(), key=lambda p: -p.sends_left)
     chosen = pending[:UPDATES_PER_MESSAGE]
@@ -172,11 +173,11 @@
 def next_probe(
     table: MemberTable, zone: ZoneName, now: float, rng: random.Random
 ) -> Member | None:
-    """Start the next period: judge the last probe and choose a target.
+    """Start the next period: evaluate the last probe and choose a target.
 
-    Targets are taken in a shuffled order, so that each member is probed
-    within one round. Dead members are probed too: it costs one message a
-    round and finds those that were cut off.
+    Targets follow a shuffled order, so each member is probed once a round.
+    Dead members are probed as well: one message a round detects those that
+    were only partitioned.
     """
     _judge_probe(table, now)
     while True:
@@ -206,10 +207,9 @@
 
 
 def forget_silence(table: MemberTable, now: float) -> None:
-    """Begin anew to wait for answers after a pause of this process.
+    """Restart the suspicion timers after a pause of this process.
 
-    The silence of others while this process could not hear them proves
-    nothing.
+    Missing answers while this process was paused are no sign of a failure.
     """
     table.probe = None
     for row in table.rows.values():
@@ -220,7 +220,7 @@
 def members_to_check(
     table: MemberTable, zone: ZoneName, now: float
 ) -> list[Member]:
-    """Return dead members to ping before their seats may be claimed."""
+    """Return the dead members to ping before their seats may be claimed."""
     due = [
         m
         for m in table.in_zone(zone)
@@ -237,11 +237,11 @@
 def note_answer(
     table: MemberTable, sender: Advert, sequence: int, now: float
 ) -> None:
-    """Draw conclusions from an answer to this instance's ping `sequence`.
+    """Process an answer to this instance's ping `sequence`.
 
-    A lifetime that was known at the sender's address before the ping was
-    sent, and is not the sender's, has ended. A dead member that answers is
-    a suspect again.
+    A process lifetime that was known at the sender's address before the ping
+    was sent, and is not the sender's, has ended. A dead member that answers
+    becomes a suspect.
     """
     for row in list(table.rows.values()):
         if row.peer != sender.peer or row.life is None:
@@ -263,14 +263,14 @@
 
 
 def note_ended(table: MemberTable, life: LifeId) -> None:
-    """Keep a lifetime that has provably ended."""
+    """Record a process lifetime that has ended."""
     table.ended[life] = None
     while len(table.ended) > ENDED_KEPT:
         del table.ended[next(iter(table.ended))]
 
 
 def needs_indirect(table: MemberTable, now: float) -> bool:
-    """Tell whether to ask others to probe the target, and note it."""
+    """Return whether to start indirect probes; true once a period."""
     probe = table.probe
     if probe is None or probe.is_acked or probe.is_indirect:
         return False
@@ -283,7 +283,7 @@
 def indirect_helpers(
     table: MemberTable, zone: ZoneName, rng: random.Random
 ) -> list[Member]:
-    """Choose the members that are asked to probe the target."""
+    """Choose the members that send indirect probes to the target."""
     target = table.probe.target if table.probe else None
     others = [
         m
@@ -296,7 +296,7 @@
 
 
 def acknowledge(table: MemberTable, sequence: int, now: float) -> None:
-    """Note the acknowledgement of a probe."""
+    """Process the acknowledgement of a probe."""
     probe = table.probe
     if probe is None or probe.sequence != sequence:
         return
@@ -307,7 +307,7 @@
 
 
 def expire(table: MemberTable, zone: ZoneName, now: float) -> None:
-    """Declare old suspects dead and drop rows that are of no more use."""
+    """Declare expired suspects dead and remove obsolete rows."""
     if now - table.expired_at < EXPIRE_PERIOD_S:
         return
     table.expired_at = now
--- a/chiverun/core/overdue.py
+++ b/chiverun/core/overdue.py
@@ -1,8 +1,8 @@
-"""Requests of short classes that run far longer than their class usually.
+"""Requests of short classes that run far longer than usual for their class.
 
-They count as long for their server. A class with many of them may not take
-the last free slot of a server, so that the other classes of the service go
-on.
+They count as long requests of their server. A class with many of them may not
+use the last free slot of a server, so that other classes of the service can
+still run.
 """
 
 import dataclasses
@@ -17,11 +17,11 @@
 # With exponential running times one request in 250 exceeds 8 medians.
 OVERDUE_FACTOR = 8.0
 OVERDUE_MIN_S = 0.02
-# A class is suspect from this many overdue requests, or this part of the
-# service's slots.
+# A class is suspect if its overdue requests reach both this number and this
+# share of the service's slots.
 SUSPECT_MIN = 2
 SUSPECT_SHARE = 0.1
-# Stays suspect for this time, so that it does not refill all slots at once.
+# Minimum time as a suspect, so that a class does not refill all slots at once.
 SUSPECT_S = 1.0
 
 
@@ -32,7 +32,7 @@
 
 
 class OverdueTable:
-    """Watched requests by number; callers hold a lock."""
+    """Watched requests by number; methods are called with a lock held."""
 
     def __init__(self) -> None:
         self._due: list[tuple[float, int]] = []
@@ -49,7 +49,7 @@
         heapq.heappush(self._due, (due_at, number))
 
     def advance(self, now: float) -> list["ServerName"]:
-        """Return the server of each request that has become overdue."""
+        """Return the server of each request that has just become overdue."""
         servers = []
         while self._due and self._due[0][0] <= now:
             _, number = heapq.heappop(self._due)
@@ -61,7 +61,7 @@
         return servers
 
     def end(self, number: int) -> "ServerName | None":
-        """Stop watching; return the server if the request was overdue."""
+        """Stop watching a request; return its server if it was overdue."""
         self._watched.pop(number, None)
         row = self._overdue.pop(number, None)
         if len(self._due) > 64 + 2 * len(self._watched):
@@ -75,7 +75,7 @@
         return row.server
 
     def is_suspect(self, key: QueueKey, slots: int, now: float) -> bool:
-        """Tell whether a class has many overdue requests, or had lately."""
+        """Return whether a class has or recently had many overdue requests."""
         least = max(SUSPECT_MIN, SUSPECT_SHARE * slots)
         if self._by_class.get(key, 0) >= least:
             self._suspect_until[key] = now + SUSPECT_S
--- a/chiverun/core/peertable.py
+++ b/chiverun/core/peertable.py
@@ -1,8 +1,8 @@
-"""Which edge instances live, as their signs of life tell.
+"""Liveness of edge instances, based on heartbeats.
 
-In each region two machines, the hubs, receive the signs of life of all the
-others and pass on which of them live. So neither messages nor connections of
-a machine that is no hub grow with the number of machines.
+In each region two machines, the hubs, receive the heartbeats of all other
+machines and distribute the list of live ones. Messages and connections of
+other machines thus do not grow with the number of machines.
 """
 
 import dataclasses
@@ -12,12 +12,12 @@
 from chiverun.core.ids import InstanceId
 
 BEAT_PERIOD_S = 0.5
-# Four signs of life are missing.
+# Four heartbeats are missing.
 SILENT_AFTER_S = 2.2
-# A relay silent for so long is replaced by reads of one's own, and signs of
-# life go to the whole region until it is back.
+# After this time without the relay, machines read the store themselves and
+# send heartbeats to the whole region until the relay returns.
 RELAY_SILENT_AFTER_S = 1.0
-# Machines begin to replace a silent relay one after the other.
+# Delay between machines that replace a silent relay, by rank.
 RELAY_RANK_S = 0.1
 RELAY_RANKS_MAX = 8
 HUBS = 2
@@ -33,14 +33,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LiveList:
-    """The machines that a hub hears."""
+    """The live machines according to a hub."""
 
     names: frozenset[InstanceId]
     heard_at: float
 
 
 class PeerTable:
-    """Rows of the machines that this one hears, and lists of the hubs."""
+    """Machines that this one receives heartbeats from, and hub lists."""
 
     def __init__(self, *, me: Machine) -> None:
         self.me = me
@@ -51,7 +51,7 @@
         self._known: set[InstanceId] = {me.name}
 
     def note_beat(self, beat: Beat, now: float) -> bool:
-        """Take over a sign of life; return whether the machine was silent."""
+        """Record a heartbeat; return whether the machine was silent before."""
         name = beat.machine.name
         if name == self.me.name:
             return False
@@ -65,11 +65,11 @@
     def note_list(
         self, hub: InstanceId, names: list[InstanceId], now: float
     ) -> None:
-        """Take over which machines a hub hears."""
+        """Record the list of live machines of a hub."""
         self.lists[hub] = LiveList(names=frozenset(names), heard_at=now)
 
     def note_machines(self, machines: list[Machine]) -> None:
-        """Take over the registered machines, heard or not."""
+        """Record the registered machines, whether live or not."""
         for machine in machines:
             self._machines[machine.name] = machine
             self._known.add(machine.name)
@@ -77,14 +77,14 @@
 
     @property
     def known(self) -> set[InstanceId]:
-        """Names of all machines that were ever known, this one included.
+        """Names of all machines ever known, including this one.
 
-        A machine that is out of reach still uses its part of shared bounds.
+        An unreachable machine still uses its part of shared limits.
         """
         return self._known
 
     def heard(self, now: float) -> list[InstanceId]:
-        """Return the machines of the region that this one hears itself."""
+        """Return the region's machines with recent heartbeats to this one."""
         return [
             name
             for name, row in self.rows.items()
@@ -94,7 +94,7 @@
         ]
 
     def live(self, now: float) -> list[Machine]:
-        """Return machines of the region to name, without this one."""
+        """Return the live machines of the region, excluding this one."""
         names = set(self.heard(now))
         for row in self.lists.values():
             if now - row.heard_at < SILENT_AFTER_S:
@@ -107,7 +107,7 @@
         ]
 
     def region(self) -> list[Machine]:
-        """Return all known machines of the region but this one."""
+        """Return all known machines of the region, excluding this one."""
         return [
             machine
             for machine in self._machines.values()
@@ -124,7 +124,7 @@
         ]
 
     def hubs(self, now: float) -> list[InstanceId]:
-        """Return the hubs of the region, this machine perhaps included."""
+        """Return the hubs of the region, possibly including this machine."""
         live = {machine.name for machine in self.live(now)}
         names = sorted(
             machine.name
@@ -134,9 +134,9 @@
         return sorted([*names, self.me.name])[:HUBS]
 
     def is_reader(self, now: float, reads_store: bool) -> bool:
-        """Tell whether this machine reads the store for its region.
+        """Return whether this machine reads the store for its region.
 
-        The hub with the lowest name whose reads succeed does.
+        The reader is the hub with the lowest name whose reads succeed.
         """
         if self.me.name not in self.hubs(now):
             return False
@@ -150,14 +150,14 @@
         return reads_store and self.me.name < min(readers)
 
     def is_relay_silent(self, now: float) -> bool:
-        """Tell whether this machine has to replace the relay."""
+        """Return whether this machine must replace the relay."""
         names = sorted([m.name for m in self.region()] + [self.me.name])
         rank = min(RELAY_RANKS_MAX, names.index(self.me.name))
         limit_s = RELAY_SILENT_AFTER_S + rank * RELAY_RANK_S
         return now - self.relay_heard_at > limit_s
 
     def beat_targets(self, now: float) -> list[Machine]:
-        """Return whom to send a sign of life."""
+        """Return the machines to send heartbeats to."""
         if now - self.relay_heard_at > RELAY_SILENT_AFTER_S:
             return self.region()
         hubs = self.hubs(now)
--- a/chiverun/core/placement.py
+++ b/chiverun/core/placement.py
@@ -1,10 +1,10 @@
-"""Where a request goes: region by fair shares, server by affinity.
+"""Placement of requests: region by fair shares, server by affinity.
 
-Every instance of a region computes the same placement without talking to
-the others: a key maps to a region by the shares of its source region, and
-within that region to servers in rendezvous order (Thaler and Ravishankar,
-1998), one of the own zone first, so that its object stays where it was
-handled before.
+All instances of a region compute the same placement without coordination. A
+key maps to a region by the shares of its source region, and within that
+region to servers in rendezvous order (Thaler and Ravishankar, 1998), with a
+server of the instance's own zone first. Requests for an object thus reach
+the same servers each time.
 """
 
 import functools
@@ -27,12 +27,12 @@
 
 @functools.lru_cache(maxsize=65536)
 def unit_hash(text: str) -> float:
-    """Map a text to [0, 1), evenly."""
+    """Return a uniform hash of a text in [0, 1)."""
     return xxhash.xxh3_64_intdigest(text.encode()) / _UNIT
 
 
 def rendezvous(key: str, servers: Sequence[Server]) -> list[Server]:
-    """Return servers in the order in which they should get a key."""
+    """Return servers in the rendezvous order of a key."""
     return sorted(
         servers,
         key=lambda server: _rendezvous_weight(key, server.name),
@@ -48,17 +48,17 @@
 def zone_first(
     ranked: Sequence[Server], zone: ZoneName | None
 ) -> list[Server]:
-    """Return servers with the first of a zone and the first outside it ahead.
+    """Move the first server of a zone and the first outside it to the front.
 
-    The machines of two zones so keep a key's object on the same two servers
-    and each sends to the one of its own zone.
+    Machines of two zones thus use the same two servers for a key, and each
+    machine prefers the server of its own zone.
 
     Parameters
     ----------
     ranked : Sequence[Server]
         Servers in rendezvous order of the key.
     zone : ZoneName or None
-        None changes nothing.
+        With None the order is unchanged.
     """
     inside = next((s for s in ranked if s.zone == zone), None)
     if inside is None:
@@ -73,17 +73,17 @@
     demand: Mapping[Place, float],
     source: Place,
 ) -> dict[Place, float]:
-    """Return the parts of a source's requests for each place.
+    """Return the share of a source's requests for each place.
 
-    Each place keeps what its servers' share of the total capacity carries;
-    what is over goes to places with capacity left, in its proportion.
+    Each place keeps the demand that its share of the total capacity covers.
+    The excess goes to places with spare capacity, in proportion to it.
 
     Parameters
     ----------
     capacity : Mapping
         Slots of the service's servers in each place.
     demand : Mapping
-        Relative request rates of the places.
+        Relative request rate of each place.
     source : RegionName or ZoneName
         The place whose requests are placed.
     """
@@ -118,9 +118,9 @@
 def place_of(
     level: str, key: str, shares: Mapping[Place, float], source: Place
 ) -> Place:
-    """Return the place to which the shares of a source send a key.
+    """Return the place of a key by the shares of a source.
 
-    `level` makes the choices of a region and of a zone independent.
+    `level` makes the choice of a region independent of that of a zone.
     """
     point = unit_hash(f"{level}\0{key}")
     passed = shares.get(source, 0.0)
--- a/chiverun/core/portions.py
+++ b/chiverun/core/portions.py
@@ -1,7 +1,7 @@
-"""Allocates slots, caps and rates to the seats of zones and regions.
+"""Allocation of slots, caps and rates to the seats of zones and regions.
 
-The allocation depends on the ticket's state only, so that all instances
-compute the same one, and the portions of all seats add up to the whole.
+The allocation depends only on the state of the tickets, so all instances
+compute the same one. The portions of all seats add up to the total.
 """
 
 from collections.abc import Iterable
@@ -31,7 +31,7 @@
     Parameters
     ----------
     name : str
-        Name of the cap; spreads the remainders of different caps.
+        Name of the cap. Remainders of different caps go to different seats.
     units : int
         The cap, in whole units.
     position : int
--- a/chiverun/core/queuelimits.py
+++ b/chiverun/core/queuelimits.py
@@ -1,4 +1,4 @@
-"""Which requests may wait for a slot, by what is ahead of them."""
+"""Limits on the queues of requests that wait for a slot."""
 
 from typing import TYPE_CHECKING
 
@@ -21,7 +21,7 @@
 
 
 class QueueLimits:
-    """Bounds of the queues of an instance; the caller holds its lock."""
+    """Queue limits of an instance; methods are called with its lock held."""
 
     def __init__(
         self,
@@ -40,43 +40,45 @@
         self._open_slots: dict[tuple[ServiceName, bool], float] = {}
 
     def note_snapshot(self) -> None:
-        """Forget what was computed from the snapshot before."""
+        """Clear the values computed from the previous snapshot."""
         self._open_slots = {}
 
     def check(self, snapshot: "Snapshot", work: Work, now: float) -> None:
-        """Check that a request may wait.
+        """Raise unless a request may wait for a slot.
 
         Raises
         ------
         ChiverunError
-            With a 3xx code; the request was not run.
+            With a 3xx code; the request has not run.
         """
         slots = self.usable_slots(snapshot, work, now)
         if slots <= 0:
-            raise refusal(ResultCode.NO_CAPACITY, work, "no server in use")
+            raise refusal(ResultCode.NO_CAPACITY, work, "no usable server")
         queued = self._queues.length(work.key)
         if queued >= max(QUEUE_MIN, QUEUE_PER_SLOT_MAX * slots):
-            raise refusal(ResultCode.QUEUE_FULL, work, f"{queued} wait")
+            raise refusal(ResultCode.QUEUE_FULL, work, f"{queued} queued")
         waiting = sum(n for _, n in self._queues.lengths(work.service))
         if self.waiters_max is not None and waiting >= self.waiters_max:
             raise refusal(
-                ResultCode.QUEUE_FULL, work, f"{waiting} wait for the service"
+                ResultCode.QUEUE_FULL,
+                work,
+                f"{waiting} queued for the service",
             )
         wait_s = self.expected_wait_s(work, queued, slots, now)
         if now + wait_s > self._times.latest_start(work, now):
             raise refusal(
                 ResultCode.DEADLINE_UNREACHABLE,
                 work,
-                f"{queued} wait for {slots:.0f} slots",
+                f"{queued} queued for {slots:.0f} slots",
             )
 
     def expected_wait_s(
         self, work: Work, queued: int, slots: float, now: float
     ) -> float:
-        """Return the time that the work ahead takes on the open slots.
+        """Return the expected wait behind the requests queued ahead.
 
-        Queues are served in turn, so that of each other queue at most as
-        many are ahead as in the request's own.
+        Queues are served in turn, so at most as many requests of each other
+        queue are ahead as of the request's own queue.
         """
         ahead_s = self._times.expected_s(work.key, now)
         for name, length in self._queues.lengths(work.service):
@@ -88,9 +90,10 @@
     def usable_slots(
         self, snapshot: "Snapshot", work: Work, now: float
     ) -> float:
-        """Return the slots of servers in use, by how fast they are.
+        """Return the slots of usable servers, divided by their slowness.
 
-        Kept until the next snapshot, since it looks at all servers.
+        The result is cached until the next snapshot, since it depends on all
+        servers.
         """
         key = (work.service, work.is_long)
         if key not in self._open_slots:
--- a/chiverun/core/retries.py
+++ b/chiverun/core/retries.py
@@ -5,13 +5,13 @@
 
 BUDGET_RATIO = 0.1
 BUDGET_START = 10.0
-# Bounds the burst of retries that an instance saves up while all is well.
+# Limits the retries that accumulate while few requests fail.
 BUDGET_MAX = 20.0
-# As the settings have it for the entry.
+# Default number of entry threads in the settings.
 DEFAULT_THREADS = 40
-# A share of an instance's threads that long requests may hold.
+# Share of an instance's threads that long requests may hold.
 LONG_THREADS_SHARE = 0.5
-# A hedge sooner than this costs more than it can gain.
+# An earlier hedge costs more than it gains.
 HEDGE_MIN_S = 0.002
 _UNIT = 1000
 
@@ -22,7 +22,7 @@
     def __init__(
         self, *, ratio: float = BUDGET_RATIO, start: float = BUDGET_START
     ) -> None:
-        # Whole numbers, so that ten deposits of 0.1 are one attempt.
+        # Integers avoid rounding: ten deposits of 0.1 make one attempt.
         self._ratio = round(ratio * _UNIT)
         self._balance = round(start * _UNIT)
         self._lock = threading.Lock()
@@ -34,7 +34,7 @@
             self._balance = min(most, self._balance + self._ratio)
 
     def withdraw(self) -> bool:
-        """Take one extra attempt from the budget, if there is one."""
+        """Withdraw one extra attempt; return False if the budget is empty."""
         with self._lock:
             if self._balance < _UNIT:
                 return False
@@ -42,14 +42,14 @@
             return True
 
     def refund(self) -> None:
-        """Put back an extra attempt that was not made."""
+        """Return an extra attempt that was not made to the budget."""
         with self._lock:
             self._balance += _UNIT
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HedgePlan:
-    """A second attempt is due `delay_s` after the first was sent."""
+    """A second attempt, due `delay_s` after the first was sent."""
 
     delay_s: float
 
@@ -61,30 +61,30 @@
     delay_s: float | None,
     left_s: float,
 ) -> HedgePlan | None:
-    """Decide whether a request may be hedged.
+    """Return the hedge of a request, or None if it may not be hedged.
 
     Parameters
     ----------
     repeatable : bool
-        Whether its class may run more than once.
+        Whether a request of the class may run more than once.
     attempts_left : int
-        Attempts that the class still allows, the first one included.
+        Remaining attempts of the class, including the first one.
     delay_s : float or None
-        A high quantile of its class's latency; None if it is not known.
+        A high quantile of the class's latency; None if it is unknown.
     left_s : float
-        Seconds until its deadline.
+        Seconds until the deadline.
     """
     if not repeatable or attempts_left < 2 or delay_s is None:
         return None
     delay_s = max(HEDGE_MIN_S, delay_s)
-    # A hedge that has less time than the class usually needs is wasted.
+    # A hedge with less time than the class usually needs is wasted.
     if 2.0 * delay_s > left_s:
         return None
     return HedgePlan(delay_s=delay_s)
 
 
 class LongThreads:
-    """Bounds the threads that long requests hold; thread-safe."""
+    """Limits the threads that long requests hold; thread-safe."""
 
     def __init__(
         self, *, threads: int, share: float = LONG_THREADS_SHARE
@@ -93,7 +93,7 @@
         self._lock = threading.Lock()
 
     def try_enter(self) -> bool:
-        """Take a thread for a long request, if one is left."""
+        """Reserve a thread for a long request; False if none is free."""
         with self._lock:
             if self._free <= 0:
                 return False
@@ -101,6 +101,6 @@
             return True
 
     def leave(self) -> None:
-        """Give a thread back."""
+        """Release a thread."""
         with self._lock:
             self._free += 1
--- a/chiverun/core/routing.py
+++ b/chiverun/core/routing.py
@@ -1,4 +1,4 @@
-"""Which instances to forward a request to, in order."""
+"""Selection of the instances to which a request is forwarded."""
 
 import dataclasses
 from typing import TYPE_CHECKING
@@ -18,11 +18,11 @@
     from chiverun.core.state import State
     from chiverun.core.ticket import Shift
 
-# An advert older than this says nothing about an instance's free slots.
+# Free slots of an older advert are ignored.
 ROOM_MAX_AGE_S = 5.0
 TARGETS_MAX = 3
-# Way to another region and back. A request that would get a slot in its own
-# zone sooner waits there.
+# Round trip to another region. A request that expects a slot in its own zone
+# sooner waits there instead.
 REGION_DETOUR_S = 0.07
 
 
@@ -30,7 +30,7 @@
 class Target:
     """An instance that may admit a request to its zone's servers.
 
-    `portion` is its part of a shift's cap, in requests per second.
+    `portion` is its portion of a shift's cap, in requests per second.
     """
 
     zone: ZoneName
@@ -42,7 +42,7 @@
 def link_between(
     state: "State", source: RegionName, target: RegionName
 ) -> Link | None:
-    """Return the link from one region to another, if the state has one."""
+    """Return the link from one region to another; None if there is none."""
     for link in state.of(Link).values():
         if link.source == source and link.target == target:
             return link
@@ -56,10 +56,11 @@
     service: "ServiceName",
     now: float,
 ) -> list[Target]:
-    """Return instances with free slots, nearest first, at most three.
+    """Return at most three instances with free slots, nearest first.
 
-    Instances of the home zone come first, then the home region, then other
-    regions that a link leads to; among equals the one with the most room.
+    Instances of the zone `home` come first, then those of its region, then
+    those of other regions with a link. Within each group, instances with the
+    most free slots come first.
     """
     state = snapshot.state
     zone = state.of(Zone).get(home)
@@ -101,9 +102,9 @@
 ) -> list[Target]:
     """Return the instances that may admit requests of a shift.
 
-    With a cap below the number of seats some instances have no part of it
-    and would refuse every request. Instances that were not heard of lately
-    may be cut off; trying them would cost a moved request its deadline.
+    With a cap below the number of seats, some instances have no portion and
+    would reject every request. Instances without a recent advert may be
+    unreachable, and trying them could exceed a moved request's deadline.
     """
     targets = []
     for target in _targets(snapshot, me):
@@ -127,7 +128,7 @@
 def region_room(
     snapshot: "Snapshot", region: RegionName, service: "ServiceName"
 ) -> tuple[int, float]:
-    """Return a region's free slots for a service and when measured."""
+    """Return a region's free slots for a service and the measuring time."""
     rooms = [
         a
         for view in snapshot.zones.values()
--- a/chiverun/core/seats.py
+++ b/chiverun/core/seats.py
@@ -1,8 +1,8 @@
 """Claim, transfer and suspension of seats.
 
-A seat is the right to a share of a zone's slots. These functions decide; the
-store's record of a zone's seats is changed by compare-and-swap in
-`runtime.storeworker`.
+A seat is the right to a share of a zone's slots. The functions here only make
+decisions; `runtime.storeworker` updates the store's record of a zone's seats
+by compare-and-swap.
 """
 
 import dataclasses
@@ -42,23 +42,23 @@
 CLAIM_PERIOD_S = 1.0
 REQUEST_PERIOD_S = 1.0
 TRANSFER_RESEND_S = 0.5
-# A transfer that was queued for longer is refused: its sender may have been
-# paused, and the seat claimed, before it reached the network.
+# A transfer that was queued for longer is rejected: its sender may have been
+# paused, and the seat claimed, before the message reached the network.
 TRANSFER_AGE_MAX_S = 2.0
-# A claimant waits this long after a holder was declared dead, on top of the
-# time of the detection itself.
+# Wait of a claimant after a holder has been declared dead, in addition to
+# the detection time.
 DEAD_BEFORE_CLAIM_S = 1.0
-# Time for a live holder that was wrongly taken for dead to hear of a claim.
+# Time for a live holder, wrongly declared dead, to learn of a claim.
 NEWS_MARGIN_S = 2.0
 LISTEN_S = 3.0
-# Time that a live instance has to take a seat that was handed to it before
-# another may claim the seat.
+# Time for a live instance to accept a seat transferred to it, before other
+# instances may claim the seat.
 UNCOVERED_S = 10.0
-# A claim raises the epoch by more than the transfers that a live holder,
-# wrongly taken for dead, can make before it hears of the claim, so that the
-# claim is later than all of them.
+# A claim raises the epoch by more than the number of transfers that a live
+# holder, wrongly declared dead, can make before it learns of the claim. The
+# claim thus has a higher epoch than all of them.
 CLAIM_EPOCHS = 64
-# Bounds the marks that messages can create.
+# Limits the table entries that messages can create.
 SEATS_MAX = 4096
 OLD_CLASSES_MAX = 32
 
@@ -66,27 +66,27 @@
 class SeatRecord(msgspec.Struct, frozen=True, kw_only=True):
     """The store's record of a zone's seats; a missing seat has no owner.
 
-    `epochs` keeps the last epoch of seats that were given up.
+    `epochs` holds the last epoch of seats that have been released.
     """
 
     owners: dict[SeatIndex, Owner] = {}
     epochs: dict[SeatIndex, int] = {}
 
     def epoch(self, seat: SeatIndex) -> int:
-        """Return the last epoch of a seat, 0 if it was never held."""
+        """Return the last epoch of a seat; 0 if it has never been held."""
         owner = self.owners.get(seat)
         return max(self.epochs.get(seat, 0), owner.epoch if owner else 0)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ClaimPlan:
-    """What a claimant asks the store worker to claim.
+    """Input of a claim by the store worker.
 
-    `ended` are process lifetimes that take no more requests. `marks` are the
-    latest holders known of the seats, which the record may not show yet;
-    `overdue` seats have been without a holder for `UNCOVERED_S`. Of `live`
-    instances this one has the rank `rank`; it prefers every `live`-th seat,
-    since neighbouring seats share the slots of one server.
+    `ended` are process lifetimes that accept no more requests. `marks` are
+    the latest known holders of the seats, which the record may not contain
+    yet. `overdue` are seats without a holder for `UNCOVERED_S`. This
+    instance has rank `rank` among `live` instances and prefers every
+    `live`-th seat, since adjacent seats share the slots of a server.
     """
 
     missing: frozenset[SeatIndex]
@@ -100,7 +100,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Claim:
-    """A seat to claim; `was_used` tells whether work may still run on it."""
+    """A seat to claim; `was_used` if requests may still run on its slots."""
 
     seat: SeatIndex
     epoch: int
@@ -108,12 +108,12 @@
 
 
 def share(seats: int, live: int) -> int:
-    """Return the most seats that one of `live` instances should hold."""
+    """Return the maximum number of seats for each of `live` instances."""
     return math.ceil(seats / max(1, live))
 
 
 def note_mark(table: SeatTable, seat: SeatIndex, mark: Mark) -> bool:
-    """Take over a mark; return whether it is later than the known one."""
+    """Store a mark if it is later than the known one; return whether so."""
     known = table.marks.get(seat)
     if not 0 <= seat < SEATS_MAX or (known is not None and mark <= known):
         return False
@@ -123,7 +123,7 @@
 
 
 def marks_digest(table: SeatTable) -> int:
-    """Return a hash of the marks, 0 if there are none."""
+    """Return a hash of the marks; 0 if there are none."""
     if table.digest is None:
         marks = sorted((s, m.epoch, m.life) for s, m in table.marks.items())
         data = msgspec.msgpack.encode(marks) if marks else b""
@@ -144,7 +144,7 @@
 
 
 def lost_seats(table: SeatTable, life: LifeId) -> set[SeatIndex]:
-    """Return the seats held or being released that a later holder has."""
+    """Return held or releasing seats that have a later holder."""
     mine = {**table.releasing, **table.held}
     return {
         seat
@@ -156,7 +156,7 @@
 def covered_seats(
     table: SeatTable, members: MemberTable, zone: ZoneName
 ) -> set[SeatIndex]:
-    """Return the seats that a live instance holds or is handing over."""
+    """Return the seats that live instances hold or are transferring."""
     covered = set(table.held) | set(table.releasing) | set(table.transfers)
     for row in members.live_in_zone(zone):
         if row.advert is not None:
@@ -167,10 +167,10 @@
 def ended_lives(
     members: MemberTable, zone: ZoneName, now: float
 ) -> frozenset[LifeId]:
-    """Return the lifetimes that ended or were silent for the dead time.
+    """Return process lifetimes that have ended or count as dead.
 
-    A member that others declared dead counts only after this instance's own
-    pings to it stayed without an answer.
+    A member that others have declared dead counts only if this instance's
+    own pings to it have not been answered either.
     """
     silent = {
         row.life
@@ -189,15 +189,15 @@
 def select_claims(
     record: SeatRecord, plan: ClaimPlan, me: Owner
 ) -> list[Claim]:
-    """Choose the seats to claim from the store's record.
+    """Return the seats to claim, given the store's record.
 
-    Seats that the record gives to this very lifetime are claimed even above
-    the share, since no other instance may claim them.
+    Seats that the record assigns to the claimant's own process lifetime are
+    claimed even above the share, since no other instance may claim them.
 
     Parameters
     ----------
     record : SeatRecord
-        As just read from the store.
+        The record as last read from the store.
     plan : ClaimPlan
     me : Owner
         The claimant.
@@ -229,9 +229,9 @@
 
 
 def _has_ended(owner: Owner, plan: ClaimPlan, me: Owner) -> bool:
-    # An owner at this process's own address is an earlier process, since an
-    # address is bound by one process at a time. The instance's name alone
-    # proves nothing: a replacement elsewhere may have the same name.
+    # An owner with this process's address is an earlier process, since only
+    # one process at a time can bind an address. An equal instance name is no
+    # proof: a replacement on another host may have the same name.
     return (
         owner.life in plan.ended
         or me.life == owner.life
@@ -242,7 +242,7 @@
 def with_owners(
     record: SeatRecord, owners: Mapping[SeatIndex, Owner]
 ) -> SeatRecord:
-    """Return the record with new owners; older epochs change nothing."""
+    """Return the record with new owners; ignore owners of older epochs."""
     merged = dict(record.owners)
     for seat, owner in owners.items():
         if owner.epoch > record.epoch(seat):
@@ -253,7 +253,7 @@
 def without_owner(
     record: SeatRecord, seat: SeatIndex, epoch: int
 ) -> SeatRecord:
-    """Return the record with a seat given up at an epoch."""
+    """Return the record with a seat released at an epoch."""
     owner = record.owners.get(seat)
     if owner is not None and owner.epoch > epoch:
         return record
@@ -263,7 +263,7 @@
 
 
 def longest_deadline_s(state: "State", length: Length) -> float:
-    """Return the longest deadline of a class of a length, in seconds."""
+    """Return the longest deadline of classes of a length, in seconds."""
     deadlines = [
         c.deadline_ms
         for service in state.of(Service).values()
@@ -280,10 +280,10 @@
     zone: ZoneName,
     now: float,
 ) -> None:
-    """Keep the deadlines of a state while work under it may still run.
+    """Keep the deadlines of the old state while its requests may still run.
 
-    With another number of seats the slots belong to other seats, so that
-    held ones are closed until the work on the slots has ended.
+    A change of the number of seats assigns slots to other seats. Held seats
+    are then closed until the requests on their slots have ended.
     """
     table.old_classes = [o for o in table.old_classes if o.until > now]
     short_s = longest_deadline_s(old, Length.SHORT)
@@ -338,7 +338,7 @@
 def held_after_claim(
     table: SeatTable, state: "State", claim: Claim, now: float
 ) -> Held:
-    """Return the held seat, opening when no earlier work can still run."""
+    """Return a claimed seat that opens when no earlier request can run."""
     old_classes = [o for o in table.old_classes if o.until > now]
     if not claim.was_used and not any(o.is_reseated for o in old_classes):
         return Held(epoch=claim.epoch, short_from=now, long_from=now)
@@ -359,11 +359,11 @@
 def held_after_transfer(
     epoch: int, now: float, short_from: float, long_from: float
 ) -> Held:
-    """Return a seat handed over by its idle holder.
+    """Return a seat transferred by its idle holder.
 
     It opens after one window of the shift limiter, since admissions of the
-    earlier holder still count in that window, and not before it would have
-    opened for that holder.
+    earlier holder still count in that window, and no earlier than it would
+    have opened for that holder.
     """
     opens_at = now + SHIFT_WINDOW_S
     return Held(
@@ -376,10 +376,10 @@
 def choose_holder(
     members: MemberTable, zone: ZoneName, held: int, rng: random.Random
 ) -> Member | None:
-    """Choose a member that holds at least 2 more seats than `held`.
+    """Return a random member with at least 2 more seats than `held`.
 
-    It is one of those with at least half the excess of the richest, so that
-    the requests of many poor instances do not all go to one.
+    Candidates have at least half of the largest excess, so that requests of
+    many instances with few seats do not all go to the same holder.
     """
     excess = {
         m.instance: len(m.advert.seats) - held
--- a/chiverun/core/sendbudget.py
+++ b/chiverun/core/sendbudget.py
@@ -1,8 +1,8 @@
-"""Bounds shared by all machines, kept by each with a part of its own.
+"""Limits shared by all machines, each of which enforces its own part.
 
-No machine knows the counts of the others, so each uses only its part. The
-number of machines that the parts are computed with never falls while
-machines are merely out of reach, so a partition cannot raise the sum.
+No machine knows the counts of the others, so each uses only its part. Machines
+that are merely unreachable still count when the parts are computed, so a
+partition cannot raise the sum.
 """
 
 import collections
@@ -11,19 +11,20 @@
 from chiverun.core.limits import WindowLimiter
 from chiverun.core.placement import unit_hash
 
-# Part of a bound that is used, since windows differ between machines and a
-# request can arrive up to a round trip after it was sent.
+# Usable part of a limit. The rest is a margin, since windows differ between
+# machines and a request can arrive up to a round trip after it was sent.
 BUDGET_PART = 0.8
 COLD_PART = 0.75
-# Length of the window of cold sends: a second and the jitter of arrivals.
+# Window of sends to a cold server: one second and the jitter of arrivals.
 COLD_WINDOW_S = 1.25
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class BudgetBounds:
-    """Bounds of a service over all machines.
+    """Limits of a service over all machines.
 
-    In any `window_s` further sends stay below `ratio` x requests + `extra`.
+    In any `window_s`, retries and hedges stay below `ratio` x requests +
+    `extra`.
     """
 
     ratio: float
@@ -32,7 +33,7 @@
 
 
 class SendBudget:
-    """Further sends of one service by this machine."""
+    """Budget of this machine for retries and hedges of one service."""
 
     def __init__(self, *, bounds: BudgetBounds) -> None:
         self._bounds = bounds
@@ -45,7 +46,7 @@
         self._expire(now)
 
     def try_take(self, now: float, machines: int) -> bool:
-        """Take one further send if this machine's part has room."""
+        """Admit one retry or hedge if this machine's part allows it."""
         self._expire(now)
         allowed = BUDGET_PART * (
             self._bounds.ratio * len(self._requests)
@@ -64,10 +65,10 @@
 
 
 class ColdLimit:
-    """Sends of this machine to one cold server.
+    """Limit of this machine's sends to one cold server.
 
-    The bound of a cold server is divided into whole sends a window, held by
-    as many machines as there are sends, chosen by hash.
+    The limit of a cold server is divided into whole sends per window. With
+    fewer sends than machines, a hash selects the machines that may send.
     """
 
     def __init__(self, *, server: str, machine: str) -> None:
@@ -85,9 +86,9 @@
         now : float
             Monotonic seconds.
         per_s : float
-            Requests a second that the server bears from all machines.
+            Maximum requests per second to the server from all machines.
         machines : Collection[str]
-            Names of all machines, this one included.
+            Names of all machines, including this one.
         """
         sends = int(per_s * COLD_PART)
         count = max(1, len(machines))
--- a/chiverun/core/shift.py
+++ b/chiverun/core/shift.py
@@ -1,7 +1,8 @@
-"""Traffic shifts: how much to move now, and which requests to move.
+"""Traffic shifts: the fraction to move now, and the requests to move.
 
-The cap is enforced where a moved request is admitted (`core.admission`);
-here the source region decides how many requests it offers.
+The target region enforces the cap when it admits a moved request
+(`core.admission`). The functions here decide how many requests the source
+region offers.
 """
 
 import dataclasses
@@ -17,17 +18,18 @@
     from chiverun.core.routing import Target
     from chiverun.core.state import State
 
-# Jitter allowed between the admission of a moved request and its arrival at
-# the backend server; a grant that is older is not used.
+# Maximum time between the admission of a moved request and its arrival at the
+# backend server; an older grant is not used.
 SHIFT_JITTER_S = 0.25
-# The cap holds for any second of arrivals at the backend servers.
+# With this window the cap holds in any second of arrivals at the servers.
 SHIFT_WINDOW_S = 1.0 + SHIFT_JITTER_S
-# A refused request costs a round trip between regions.
+# Each rejected offer costs a round trip between regions.
 TARGETS_PER_REQUEST = 2
-# The first step and the growth of a step, as parts of the target fraction.
+# The first step is a part of the target fraction; each later step multiplies
+# the current fraction.
 FIRST_STEP = 0.1
 STEP_GROWTH = 2.0
-# A summary of the target older than this does not allow growth.
+# Maximum age of a measurement that allows growth.
 FRESH_S = 3.0
 
 
@@ -41,7 +43,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class ShiftProgress:
-    """How far a shift has grown on this instance."""
+    """Progress of a shift on this instance."""
 
     shift: Shift
     fraction: float = 0.0
@@ -54,25 +56,25 @@
 
 
 def cap_name(shift: Shift) -> str:
-    """Return the name by which a shift's cap is divided over seats.
+    """Return the name used to divide a shift's cap over seats.
 
-    It does not depend on the shift's own name, so that a ticket that
-    replaces a shift gives the units to the same seats, and the requests of
-    the earlier shift still count in the window.
+    It does not depend on the shift's own name. When a ticket replaces a
+    shift, the units thus stay with the same seats, and requests of the
+    earlier shift still count in the window.
     """
     return f"shift:{shift.service}:{shift.source}:{shift.target}"
 
 
 def is_same_move(first: Shift, second: Shift) -> bool:
-    """Tell whether two shifts move the same requests to the same region."""
+    """Return whether two shifts have equal service, source and target."""
     return cap_name(first) == cap_name(second)
 
 
 def followed_by(progress: ShiftProgress, shift: Shift) -> ShiftProgress:
     """Return the progress of a changed shift.
 
-    The reached fraction is kept, up to the new one: traffic does not fall
-    back when a ticket changes the fraction or the cap.
+    The current fraction is kept, up to the new target fraction, so that
+    traffic does not move back when a ticket changes the fraction or the cap.
     """
     return dataclasses.replace(
         progress,
@@ -87,7 +89,7 @@
     source: "RegionName",
     target: "RegionName | None" = None,
 ) -> Shift | None:
-    """Return the active shift of a service from `source`, if any."""
+    """Return the active shift of a service from `source`; None if none."""
     for shift in state.of(Shift).values():
         if (
             shift.state is ShiftState.ACTIVE
@@ -102,9 +104,9 @@
 def grow(
     progress: ShiftProgress, measurement: Measurement | None, now: float
 ) -> None:
-    """Raise the fraction by one step if the target is measured to have room.
+    """Raise the fraction by one step if the target has free slots.
 
-    A missing or stale measurement stops growth and never speeds it.
+    Without a recent measurement the fraction does not grow.
     """
     goal = progress.shift.fraction
     if progress.fraction >= goal:
@@ -122,7 +124,7 @@
 
 
 def take(progress: ShiftProgress) -> bool:
-    """Decide by error diffusion whether the next request is moved."""
+    """Return whether to move the next request, by error diffusion."""
     progress.diffusion += progress.fraction
     if progress.diffusion < 1.0:
         return False
@@ -133,10 +135,10 @@
 def select_targets(
     progress: ShiftProgress, targets: list["Target"], now: float
 ) -> list["Target"]:
-    """Order the instances to offer a moved request to.
+    """Return the instances to offer a moved request to, in order.
 
-    Smooth weighted round robin by their portions of the cap; instances that
-    refused a request a moment ago are left out.
+    The order is a smooth weighted round robin by portions of the cap.
+    Instances that have just rejected a request are skipped.
     """
     names = {t.addresses.instance for t in targets}
     for name in set(progress.credits) - names:
@@ -160,9 +162,10 @@
 def note_refused(
     progress: ShiftProgress, target: "Target", now: float
 ) -> None:
-    """Leave out an instance that is at its portion of the cap.
+    """Skip an instance that is at its portion of the cap for a while.
 
-    It admits about one more request in each window divided by its portion.
+    The pause is the window divided by the portion, the mean time until the
+    instance admits another request.
     """
     wait_s = SHIFT_WINDOW_S / max(1, target.portion)
     progress.closed_until[target.addresses.instance] = now + wait_s
--- a/chiverun/core/shiftcaps.py
+++ b/chiverun/core/shiftcaps.py
@@ -1,4 +1,4 @@
-"""Caps of the shifts into a zone's region, as one instance keeps them."""
+"""Caps of the shifts into this region, enforced by this instance."""
 
 from typing import TYPE_CHECKING
 
@@ -21,19 +21,19 @@
 
 
 class ShiftCaps:
-    """Counts the requests that cross regions by a shift."""
+    """Limits the requests that cross regions by a shift."""
 
     def __init__(self, *, zone: ZoneName) -> None:
         self._zone = zone
         self._limits: dict[str, WindowLimiter] = {}
 
     def take(self, snapshot: "Snapshot", work: Work, now: float) -> None:
-        """Count a request against the caps of the shifts that it crosses.
+        """Count a request against the caps of its shifts.
 
         Raises
         ------
         ChiverunError
-            SHIFT_CAP; the request was not run.
+            SHIFT_CAP; the request has not run.
         """
         for shift in self._crossed(snapshot, work):
             self._take_cap_of(snapshot, shift, work, now)
@@ -41,19 +41,19 @@
     def is_timely(
         self, snapshot: "Snapshot", grant: Grant, now: float
     ) -> bool:
-        """Tell whether a grant is still counted in its shift's window.
+        """Return whether a grant may still be sent within its window.
 
-        A process that was paused between the grant and the sending would
-        add its requests to a later window.
+        After a pause between grant and send, the request would arrive in a
+        later window than the one that counts it.
         """
         return now - grant.granted_at <= SHIFT_JITTER_S or not (
             self._crossed(snapshot, grant.work)
         )
 
     def prune(self, now: float) -> None:
-        """Forget limits without a request in their window.
+        """Remove limiters without requests in their window.
 
-        A removed shift still counts in the window of one that replaces it.
+        Requests of a removed shift count in the window of its replacement.
         """
         for name in [
             n for n, one in self._limits.items() if not one.used(now)
@@ -63,8 +63,8 @@
     def _crossed(self, snapshot: "Snapshot", work: Work) -> list[Shift]:
         """Return the shifts into this region that a request counts for.
 
-        A caller of the source region may have entered in another region, by
-        a look-up that knew no instance of its own region.
+        A caller in the source region may have entered through another
+        region, if its look-up returned no instance of its own region.
         """
         state = snapshot.state
         region = state.of(Zone)[self._zone].region
@@ -94,5 +94,5 @@
             raise refusal(
                 ResultCode.SHIFT_CAP,
                 work,
-                f"shift {shift.name} is at this instance's {cap}/s",
+                f"shift {shift.name} is at this instance's cap of {cap}/s",
             )
--- a/chiverun/core/slots.py
+++ b/chiverun/core/slots.py
@@ -1,8 +1,8 @@
 """Slots of backend servers that an instance may use, with exact counts.
 
-A grant costs time in the number of servers only when few of them may take
-the request: free slots are kept by server, and servers with free slots in a
-set from which one is drawn in constant time.
+Free slots are kept by server, and servers with free slots in a set that
+allows a random draw in constant time. A grant scans all servers only when
+few of them are eligible for the request.
 """
 
 import dataclasses
@@ -47,7 +47,7 @@
 
 
 class NameSet:
-    """A set of names that can be drawn from at random in constant time."""
+    """A set of names with random draws in constant time."""
 
     def __init__(self) -> None:
         self.names: list[ServerName] = []
@@ -57,13 +57,13 @@
         return len(self.names)
 
     def add(self, name: "ServerName") -> None:
-        """Add a name unless it is there."""
+        """Add a name if it is not present."""
         if name not in self._places:
             self._places[name] = len(self.names)
             self.names.append(name)
 
     def discard(self, name: "ServerName") -> None:
-        """Remove a name if it is there."""
+        """Remove a name if it is present."""
         place = self._places.pop(name, None)
         if place is None:
             return
@@ -81,9 +81,9 @@
 class ServerSlots:
     """This instance's slots of one server.
 
-    `in_flight` counts used and occupied slots of all seats, also of seats
-    that are no longer held; `overdue` those of short requests that have run
-    for so long that they count as long ones.
+    `in_flight` counts used and occupied slots of all seats, including seats
+    that are no longer held. `overdue` counts slots of short requests that
+    have run so long that they count as long ones.
     """
 
     server: "Server"
@@ -103,14 +103,14 @@
 
 @dataclasses.dataclass(kw_only=True)
 class _Use:
-    """What holds a slot."""
+    """A use of a slot by a request."""
 
     seat: "SeatIndex"
     is_long: bool
 
 
 class SlotTable:
-    """Free and used slots; callers hold a lock."""
+    """Free and used slots; methods are called with a lock held."""
 
     def __init__(self) -> None:
         self._servers: dict[ServerName, ServerSlots] = {}
@@ -120,15 +120,15 @@
         self._layout: dict[SlotKey, Slot] = {}
         self._used: dict[SlotKey, _Use] = {}
         self._opening: list[tuple[float, SlotKey]] = []
-        # Slots that are not open yet, whatever else becomes of them.
+        # Slots that have not opened yet, whether in use or free.
         self._closed: set[SlotKey] = set()
 
     def server(self, name: "ServerName") -> ServerSlots:
-        """Return the slots of a server of the layout."""
+        """Return the slots of a server."""
         return self._servers[name]
 
     def servers(self, service: "ServiceName") -> Sequence["ServerName"]:
-        """Return the servers of a service that have slots here."""
+        """Return the servers of a service with slots of held seats."""
         return self._members.get(service, ())
 
     def free_servers(
@@ -142,11 +142,11 @@
         return len(self._used)
 
     def seat_in_use(self, seat: "SeatIndex") -> bool:
-        """Tell whether a slot of a seat is in use or occupied."""
+        """Return whether a slot of a seat is in use or occupied."""
         return any(use.seat == seat for use in self._used.values())
 
     def take(self, server: "ServerName", *, is_long: bool) -> Slot:
-        """Take a free slot; short requests use those for long ones last."""
+        """Allocate a free slot; short requests use long slots last."""
         row = self._servers[server]
         stack = (
             row.free_long if is_long or not row.free_short else row.free_short
@@ -159,7 +159,7 @@
         return slot
 
     def free(self, key: SlotKey) -> None:
-        """Give a slot back."""
+        """Release a slot."""
         use = self._used.pop(key)
         row = self._servers.get(key[0])
         if row is None:
@@ -172,7 +172,7 @@
             self._index(row)
 
     def advance(self, now: float) -> None:
-        """Open the slots whose time has come by `now`."""
+        """Open the slots whose opening time is at or before `now`."""
         while self._opening and self._opening[0][0] <= now:
             _, key = heapq.heappop(self._opening)
             self._closed.discard(key)
@@ -189,10 +189,10 @@
         seats: int,
         now: float,
     ) -> None:
-        """Lay the slots out anew; used ones stay used.
+        """Rebuild the layout; used slots stay in use.
 
-        A server's connections_max is kept by leaving out slots: a slot uses
-        at most one connection at a time.
+        Slots beyond a server's `connections_max` are left out, since each
+        slot uses at most one connection at a time.
         """
         by_index = {seat.index: seat for seat in held}
         old = self._servers
@@ -254,12 +254,11 @@
 
 
 class RegionUnits:
-    """Units of a region's cap, each bound to a seat.
+    """Units of a region's cap on requests in flight, each bound to a seat.
 
-    A request charges a unit of one seat, which need not be the seat of its
+    A request charges a unit of one seat, not necessarily the seat of its
     slot. The unit stays charged until the request has ended, and its seat
-    counts as in use, so that a seat is not handed over with a unit that is
-    still charged.
+    counts as in use, so a seat is never transferred with a charged unit.
     """
 
     def __init__(self) -> None:
@@ -274,10 +273,10 @@
         first: int,
         total: int,
     ) -> None:
-        """Set the portions of held seats; cap 0 means no limit.
+        """Set the portions of held seats; a cap of 0 means no limit.
 
-        The units of a claimed seat open only when no work of its earlier
-        holder can be running, long requests included.
+        The units of a claimed seat open only when no request of its earlier
+        holder can still be running, long requests included.
         """
         self._portions = None
         if cap:
@@ -290,7 +289,7 @@
             }
 
     def lay_out(self, snapshot: "Snapshot", zone: "Zone | None") -> None:
-        """Set the portions of the held seats of a zone from its region."""
+        """Set the portions of held seats from the cap of the zone's region."""
         state = snapshot.state
         region = state.of(Region).get(zone.region) if zone else None
         if zone is None or region is None:
@@ -307,11 +306,14 @@
         )
 
     def has_room(self, now: float) -> bool:
-        """Tell whether a request may be charged."""
+        """Return whether a unit is free, or there is no cap."""
         return self._portions is None or self._find(now) is not None
 
     def charge(self, now: float) -> "SeatIndex | None":
-        """Charge a unit; None if there is no cap. `has_room` was true."""
+        """Charge a unit and return its seat; None if there is no cap.
+
+        `has_room` must have returned true at `now`.
+        """
         if self._portions is None:
             return None
         seat = self._find(now)
@@ -320,12 +322,12 @@
         return seat
 
     def refund(self, seat: "SeatIndex | None") -> None:
-        """Give a unit back."""
+        """Release a charged unit."""
         if seat is not None:
             self._charged[seat] -= 1
 
     def in_use(self, seat: "SeatIndex") -> bool:
-        """Tell whether a unit of a seat is charged."""
+        """Return whether a unit of a seat is charged."""
         return self._charged.get(seat, 0) > 0
 
     def _find(self, now: float) -> "SeatIndex | None":
--- a/chiverun/core/splits.py
+++ b/chiverun/core/splits.py
@@ -7,7 +7,8 @@
 class SplitTable:
     """Smooth weighted round robin for each route.
 
-    Each machine keeps the weights by itself, so the sum keeps them too.
+    Each machine applies the weights independently, so the total over all
+    machines follows them as well.
     """
 
     def __init__(self) -> None:
--- a/chiverun/core/tables.py
+++ b/chiverun/core/tables.py
@@ -1,4 +1,4 @@
-"""Tables of the control plane; `runtime.control` is their only writer."""
+"""Tables of the control plane; only `runtime.control` writes them."""
 
 import dataclasses
 
@@ -20,10 +20,10 @@
     """Row of an instance; times are monotonic seconds.
 
     `advert` is None for an instance known only from the seat record.
-    `measured_at` is when its advert was made. `noted_sequence` is the number
-    of the last ping sent before `life` was learned; `synced_sequence` that
-    of the last ping whose acknowledgement showed equal seat marks. `checks`
-    counts the pings since the member was declared dead.
+    `measured_at` is the creation time of the advert. `noted_sequence` is the
+    number of the last ping sent before `life` was learned. `synced_sequence`
+    is that of the last ping whose acknowledgement showed equal seat marks.
+    `checks` counts the pings since the member was declared dead.
     """
 
     instance: InstanceId
@@ -43,13 +43,13 @@
 
     @property
     def is_live(self) -> bool:
-        """Whether the member is not known to be dead."""
+        """Whether the member is alive or suspect."""
         return self.state is not MemberState.DEAD
 
 
 @dataclasses.dataclass(kw_only=True)
 class Probe:
-    """The ping whose acknowledgement is awaited."""
+    """The ping of the current period."""
 
     target: InstanceId
     sequence: int
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class PendingUpdate:
-    """A member update with the number of messages left to carry it."""
+    """A member update and the number of messages still to include it."""
 
     update: MemberUpdate
     sends_left: int
@@ -68,11 +68,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class MemberTable:
-    """Known instances, without this one, and the state of probing them.
+    """Known instances, excluding this one, and the state of their probes.
 
-    `ended` are process lifetimes that have provably ended, since another
-    lifetime answered a later ping to their address. `version` changes with
-    every change that look-ups must show at once.
+    `ended` are process lifetimes known to have ended, since another lifetime
+    has answered a later ping to their address. `version` changes with every
+    change that look-ups must reflect at once.
     """
 
     rows: dict[InstanceId, Member] = dataclasses.field(default_factory=dict)
@@ -95,12 +95,12 @@
 
     def in_zone(self, zone: ZoneName) -> list[Member]:
         """Return the rows of a zone."""
-        # The store's follower reads rows while control adds to them; a list
-        # of a dict's values is made in one step.
+        # The store's follower reads rows while control adds rows; building a
+        # list of a dict's values is atomic.
         return list(self.by_zone.get(zone, {}).values())
 
     def add(self, row: Member) -> None:
-        """Add a row, or file it under its present zone."""
+        """Add a row, or move it to its current zone."""
         known = self.rows.get(row.instance)
         if known is not None:
             self.remove(row.instance)
@@ -116,13 +116,13 @@
                 del self.by_zone[zone]
 
     def live_in_zone(self, zone: ZoneName) -> list[Member]:
-        """Return the rows of a zone that are not known to be dead."""
+        """Return the rows of a zone that are alive or suspect."""
         return [m for m in self.in_zone(zone) if m.is_live]
 
 
 @dataclasses.dataclass(kw_only=True)
 class Held:
-    """A seat this instance holds; slots open at the given times."""
+    """A seat that this instance holds, with opening times of its slots."""
 
     epoch: int
     short_from: float
@@ -131,9 +131,9 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Releasing:
-    """A seat that is given up once its work has ended.
+    """A seat that is released once the requests on its slots have ended.
 
-    `receiver` is None when there is no instance to take it. Until a snapshot
+    `receiver` is None without an instance to transfer it to. Until a snapshot
     without the seat `is_published`, requests may still be admitted on it.
     """
 
@@ -146,7 +146,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Transfer:
-    """A seat handed over, until the receiver is seen to hold it."""
+    """A transferred seat, kept until the receiver is known to hold it."""
 
     epoch: int
     short_from: float
@@ -168,11 +168,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class OldClasses:
-    """Deadlines that were in force before a ticket changed them.
+    """Deadlines that applied before a ticket changed them.
 
-    Work admitted under them may run until `until`. With `is_relaid`, a slot
-    may have carried a long request that carries only short ones now; with
-    `is_reseated` it belonged to another seat.
+    Requests admitted under them may run until `until`. With `is_relaid`, a
+    slot that now runs only short requests may have run a long one. With
+    `is_reseated`, a slot belonged to another seat.
     """
 
     until: float
@@ -184,7 +184,7 @@
 
 @dataclasses.dataclass(frozen=True, order=True)
 class Mark:
-    """The latest holder known of a seat; the greater mark is the later."""
+    """The latest known holder of a seat; a greater mark is later."""
 
     epoch: int
     life: LifeId
@@ -194,13 +194,13 @@
 class SeatTable:
     """Seats of this instance.
 
-    `marks` holds the latest holder ever heard of for each seat, `digest` a
-    hash of them (None when to be computed); `taken` the epochs of transfers
-    that this instance has taken, so that it takes none twice. `news` are
-    seats gained lately, with the number of times left to tell the zone.
-    While `suspended_at` is set, the seats may not be used; acknowledgements
-    of pings numbered above `suspended_sequence` were made after the pause.
-    `unwritten` and `ungiven` await being written to the store's record.
+    `marks` holds the latest known holder of each seat, and `digest` their
+    hash (None until computed). `taken` are the epochs of accepted transfers,
+    so that none is accepted twice. `news` are recently gained seats, with the
+    number of announcements left. While `suspended_at` is set, the seats may
+    not be used; acknowledgements of pings numbered above
+    `suspended_sequence` were sent after the pause. `unwritten` owners and
+    `ungiven` seats are still to be written to the store's record.
     """
 
     held: dict[SeatIndex, Held] = dataclasses.field(default_factory=dict)
@@ -236,6 +236,6 @@
 
 @dataclasses.dataclass(kw_only=True)
 class DrainTable:
-    """Servers that are leaving, and until when each sign holds."""
+    """Draining servers, and the expiry of each drain sign."""
 
     until: dict[ServerName, float] = dataclasses.field(default_factory=dict)
--- a/chiverun/core/times.py
+++ b/chiverun/core/times.py
@@ -1,6 +1,6 @@
-"""Observed running times of request classes.
+"""Observed running times of a request class, as a histogram.
 
-Bucket limits grow by 20%, so a quantile is at most that far off.
+Bucket limits grow by 20%, so a quantile is at most 20% too high.
 """
 
 import bisect
@@ -9,13 +9,13 @@
 _FIRST_S = 0.0002
 _GROWTH = 1.2
 _LIMITS_S = tuple(_FIRST_S * _GROWTH**n for n in range(72))
-# Old samples lose half of their weight each time this many have come.
+# The weight of old samples is halved after this many samples.
 _HALVE_AFTER = 400
-# Quantiles are computed again after this many samples.
+# Quantiles are cached for this many samples.
 _CACHE_FOR = 16
 _MEAN_WEIGHT = 0.05
-# Estimates used to refuse requests fade with this half-life when no sample
-# comes, since refusing everything would keep a wrong estimate for ever.
+# Half-life of the expected time without new samples. If a wrong estimate made
+# an instance reject all requests, it would otherwise never be corrected.
 _FADE_S = 2.0
 SAMPLES_MIN = 20
 
@@ -49,7 +49,7 @@
             self._total /= 2.0
 
     def quantile_s(self, part: float) -> float:
-        """Return a quantile, or 0 while there are too few samples."""
+        """Return a quantile; 0 with fewer than `SAMPLES_MIN` samples."""
         if self.samples < SAMPLES_MIN:
             return 0.0
         if part not in self._cached:
@@ -57,7 +57,7 @@
         return self._cached[part]
 
     def expected_s(self, now: float) -> float:
-        """Return the mean, faded when the last sample is old."""
+        """Return the mean, which decays after the last sample."""
         age_s = max(0.0, now - self.last_at - _FADE_S)
         return self.mean_s * 0.5 ** (age_s / _FADE_S)
 
--- a/chiverun/core/timestable.py
+++ b/chiverun/core/timestable.py
@@ -1,4 +1,4 @@
-"""Observed running times of all classes of the services."""
+"""Observed running times of the classes of all services."""
 
 from collections.abc import Collection
 
@@ -13,17 +13,17 @@
 from chiverun.core.waiting import QueueKey
 from chiverun.core.work import Work
 
-# A queued request is given up when less time is left than this quantile of
+# A queued request is rejected when less time is left than this quantile of
 # its class's running times: it would use a slot and miss its deadline.
 START_QUANTILE = 0.9
 HEDGE_QUANTILE = 0.95
 
 
 class TimesTable(dict[QueueKey, ClassTimes]):
-    """Running times by service and class; 0 while nothing is learnt."""
+    """Running times by service and class; 0 without samples."""
 
     def expected_s(self, key: QueueKey, now: float) -> float:
-        """Return the mean time of a class, faded when it is old."""
+        """Return the mean time of a class, which decays without samples."""
         times = self.get(key)
         return times.expected_s(now) if times else 0.0
 
@@ -33,15 +33,16 @@
         return times.quantile_s(0.5) if times else 0.0
 
     def hedge_delay_s(self, key: QueueKey) -> float | None:
-        """Return when a second attempt is due; None if nothing is learnt."""
+        """Return the delay of a hedge; None while samples are too few."""
         times = self.get(key)
         return (times.quantile_s(HEDGE_QUANTILE) if times else 0.0) or None
 
     def latest_start(self, work: Work, now: float) -> float:
-        """Return when a waiting request is given up."""
+        """Return the time after which a waiting request is rejected."""
         times = self.get(work.key)
         need_s = times.quantile_s(START_QUANTILE) if times else 0.0
-        # A slow class must not be refused for ever on old samples.
+        # At least half of the time left remains, so that a class is not
+        # rejected for ever because of old slow samples.
         left_s = work.deadline - now
         return work.deadline - min(need_s, left_s / 2.0)
 
@@ -55,7 +56,7 @@
         cancelled: bool,
         health: ServerHealth | None,
     ) -> None:
-        """Learn from the end of an exchange.
+        """Record the running time of an exchange and the server's health.
 
         Parameters
         ----------
@@ -65,9 +66,10 @@
         now : float
             Monotonic seconds.
         cancelled : bool
-            The end says nothing but that it took at least this long.
+            Whether the exchange was cancelled, so that `elapsed_s` is only
+            a lower bound.
         health : ServerHealth or None
-            The server's row, if it is still known.
+            Health of the server; None if it has been removed.
         """
         times = self.setdefault(work.key, ClassTimes())
         usual_s = times.mean_s
@@ -82,6 +84,6 @@
             record(health, end, elapsed_s, usual_s or times.mean_s, now)
 
     def keep(self, services: Collection[ServiceName]) -> None:
-        """Forget the classes of other services."""
+        """Remove the classes of all services but the given ones."""
         for key in [key for key in self if key[0] not in services]:
             del self[key]
--- a/chiverun/core/waiting.py
+++ b/chiverun/core/waiting.py
@@ -16,16 +16,16 @@
 W = TypeVar("W")
 QueueKey = tuple[ServiceName, str]
 
-# Waiters of one queue that are looked at in one turn, if those before have
-# expired or exclude the servers that are free.
+# Maximum number of waiters of a queue checked in one turn, while earlier ones
+# have expired or exclude the free servers.
 LOOKED_AT_MAX = 64
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
 class Waiter(Generic[W, G]):
-    """A waiting request; ends with `grant` or `error` and a `notify` call.
+    """A waiting request; `finish` sets its result and calls `notify`.
 
-    It is not worth starting after `latest_start` (monotonic seconds).
+    The request is rejected after `latest_start` (monotonic seconds).
     """
 
     key: QueueKey
@@ -39,14 +39,14 @@
     def finish(
         self, *, grant: G | None = None, error: ChiverunError | None = None
     ) -> None:
-        """Set the result and wake the one who waits."""
+        """Set the result and notify the waiting caller."""
         self.grant = grant
         self.error = error
         self.notify()
 
 
 class WaitQueues(Generic[W, G]):
-    """Queues in turn; callers hold a lock."""
+    """Queues served in turn; methods are called with a lock held."""
 
     def __init__(self) -> None:
         # Insertion order is queue order, and removal takes constant time.
@@ -71,7 +71,7 @@
         return len(self._queues.get(key, ()))
 
     def lengths(self, service: ServiceName) -> Iterable[tuple[str, int]]:
-        """Return class name and length of a service's queues."""
+        """Return the class name and length of each queue of a service."""
         return [
             (key[1], len(queue))
             for key, queue in self._queues.items()
@@ -85,7 +85,7 @@
         grant: Callable[[Waiter[W, G]], G | None],
         expired: Callable[[Waiter[W, G]], ChiverunError],
     ) -> None:
-        """Grant what can be granted, one waiter of each queue in turn."""
+        """Grant slots to waiters, one of each queue in turn."""
         progress = True
         while progress:
             progress = False
@@ -104,8 +104,8 @@
     ) -> bool:
         """Serve the first waiter of a queue that can be served.
 
-        A waiter that is refused for a reason of its own, such as a shift's
-        cap or its deadline, ends with the refusal and does not block others.
+        A waiter that is rejected for its own reasons, such as its deadline
+        or the cap of a shift, ends with that error and does not block others.
         """
         for waiter in self._first(key):
             if waiter.latest_start < now:
@@ -123,7 +123,7 @@
                 waiter.finish(grant=granted)
                 return True
             if not waiter.excluded:
-                # No server takes this class, so none behind can start.
+                # No server is free for this class, so later waiters wait too.
                 break
         return False
 
--- a/chiverun/core/work.py
+++ b/chiverun/core/work.py
@@ -1,4 +1,4 @@
-"""Requests to admit, the grants they get and their refusals."""
+"""Requests to admit, their grants and their rejections."""
 
 import dataclasses
 
@@ -17,8 +17,8 @@
 class Work:
     """A request to admit; `deadline` is monotonic seconds.
 
-    `source_region` is the region of the instance that received it and
-    `origin_region` that of the caller, None if it is not known.
+    `source_region` is the region of the instance that received the request.
+    `origin_region` is that of the caller; None if it is unknown.
     """
 
     service: ServiceName
@@ -29,12 +29,12 @@
 
     @property
     def key(self) -> QueueKey:
-        """Service and class name."""
+        """The service name and class name."""
         return self.service, self.request_class.name
 
     @property
     def is_long(self) -> bool:
-        """Whether its class is declared long."""
+        """Whether the class is declared long."""
         return self.request_class.length is Length.LONG
 
 
@@ -42,7 +42,7 @@
 class Grant:
     """Permission to send one request to one server.
 
-    `unit` is the seat whose unit of the region's cap it charges, if any.
+    `unit` is the seat whose unit of the region's cap is charged, if any.
     """
 
     number: int
@@ -55,12 +55,14 @@
 
 
 def late_refusal(work: Work) -> ChiverunError:
-    """Return the refusal of a request that cannot meet its deadline."""
-    return refusal(ResultCode.DEADLINE_UNREACHABLE, work, "no slot in time")
+    """Return the error of a request that cannot meet its deadline."""
+    return refusal(
+        ResultCode.DEADLINE_UNREACHABLE, work, "no slot became free in time"
+    )
 
 
 def refusal(code: ResultCode, work: Work, reason: str) -> ChiverunError:
-    """Return the refusal of a request, with its service and class."""
+    """Return the error of a rejected request, with service and class."""
     return ChiverunError(
         code,
         f"service {work.service}, class {work.request_class.name}: {reason}",
--- a/tests/core/cap_states.py
+++ b/tests/core/cap_states.py
@@ -1,4 +1,4 @@
-"""A state with two regions and a shift, and views of it, for tests."""
+"""States with three regions and a shift, and snapshots of them, for tests."""
 
 import random
 
@@ -44,7 +44,7 @@
 def make_state(
     shifts=(), *, zones=("a1", "b1", "c1"), mbit_per_s=8.0, slots=60
 ):
-    """Return a state with zones of the regions that they are named for."""
+    """Return a state with zones; a zone's first letter is its region."""
     zones = {z: z[0] for z in zones}
     ticket = Ticket(
         number=TicketNumber(1),
@@ -81,7 +81,7 @@
 
 
 def snapshot(state, now, seats=(), *, zones=(), opens=None, **changes):
-    """Return a snapshot that holds seats; `opens` gives opening times."""
+    """Return a snapshot with seats; `opens` has their opening times."""
     opens = opens or {}
     values = {
         "state": state,
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of admission: exact counts, caps, queues, early refusal."""
+"""Tests of admission: exact counts, caps, queues, early rejection."""
 
 import threading
 import unittest
@@ -37,7 +37,7 @@
 
 
 def _learn(zone: Zoned, request_class, seconds: float, count: int = 30):
-    """Let a class be observed to run for a time."""
+    """Record samples of a class that runs for `seconds`."""
     for _ in range(count):
         grant = zone.take(request_class)
         zone.advance(seconds)
@@ -45,7 +45,7 @@
 
 
 def _used_by_plain_count(zone: Zoned, live: list) -> dict:
-    """Count slots in use the plain way: `live` has (grant, until) pairs."""
+    """Return grants in use by server; `live` has (grant, until) pairs."""
     now = zone.clock.monotonic()
     used: dict = {}
     for grant, until in live:
@@ -74,11 +74,11 @@
     def test_no_cap_is_exceeded_and_no_slot_is_left(
         self, steps, cap, connections, seed
     ):
-        """Guards against counts lost over unknown ends, seats and caps.
+        """Guards against wrong counts after unknown outcomes and transfers.
 
-        Two instances share the seats; a seat moves as the control plane
-        moves it, when the giver no longer uses it. A plain count of what
-        the servers may be running is compared after each step.
+        Two instances share the seats. A seat is transferred, as by the
+        control plane, once its holder no longer uses it. Each step compares
+        the counts with all requests that the servers may be running.
         """
         current = state(
             server("s1", connections_max=connections),
@@ -142,7 +142,7 @@
                 self.assertLess(grant.slot, long)
 
     def _check_refusal(self, zone, live):
-        """A plain scan finds no free slot on a server without failures."""
+        """Check that no server without failures has a free slot."""
         region = zone.state.objects["region"]["dar"]
         if region.in_flight_max < 100 or any(e[1] is not None for e in live):
             return
@@ -159,7 +159,7 @@
         self.assertEqual([], free)
 
     def test_units_of_a_claimed_seat_open_with_its_long_slots(self):
-        """Guards against charging a cap that a dead holder's work uses."""
+        """Guards against units in use by requests of a dead holder."""
         current = state(server("s1", slots=8), in_flight_max=4)
         late = seats(0, 1, opens_at=1005.0) + seats(2, 3)
         zone = Zoned(current, late)
@@ -168,7 +168,7 @@
         self.assertEqual(2, len(zone.take_all()))
 
     def test_a_slot_that_is_freed_before_it_opens_stays_closed(self):
-        """Guards against a slot that is given out early and then twice."""
+        """Guards against a slot that is granted early and then twice."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
         grant = zone.take()
         zone.held = seats(opens_at=zone.clock.monotonic() + 1.0)
@@ -179,7 +179,7 @@
         self.assertEqual(1, len(zone.take_all()))
 
     def test_a_seat_with_a_charged_unit_is_in_use(self):
-        """Guards against giving a seat away whose unit is still charged."""
+        """Guards against the transfer of a seat with a charged unit."""
         name = next(n for n in map(str, range(99)) if slot_seat(n, 0, 4) == 3)
         one = server(name, slots=1, long_slots=0)
         zone = Zoned(state(one, in_flight_max=4))
@@ -193,6 +193,7 @@
         self.assertEqual(3, len(zone.take_all()))
 
     def test_an_unknown_end_keeps_the_slot_until_the_deadline(self):
+        """Guards against a slot granted while its request may still run."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
         zone.admission.release(zone.take(), RESET)
         zone.advance(2.0)
@@ -201,6 +202,7 @@
         self.assertIsNotNone(zone.take())
 
     def test_a_cancelled_request_that_ended_frees_its_slot(self):
+        """Guards against slots that stay occupied without a request."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
         grant = zone.take()
         zone.admission.release(grant, RESET, cancelled=True, ended=True)
@@ -219,7 +221,7 @@
         self.assertIsNotNone(zone.take())
 
     def test_a_server_that_is_dead_for_hours_leaks_no_slot(self):
-        """Guards against an overflow of the doubling ejection time."""
+        """Guards against float overflow of the doubling ejection time."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
         zone.admission._health["s1"].ejections = 5000
         for _ in range(4):
@@ -238,14 +240,15 @@
         ({"published_at": 997.0},),
     )
     def test_a_grant_is_not_used_after_a_change(self, fields):
-        """Guards against work on lost seats and leaving servers."""
+        """Guards against requests on lost seats and draining servers."""
         zone = Zoned(state(server("s1")))
         grant = zone.take()
         self.assertTrue(zone.admission.confirm(grant))
         zone.publish(**fields)
         self.assertFalse(zone.admission.confirm(grant))
 
-    def test_a_server_that_said_it_drains_gets_no_granted_work(self):
+    def test_a_grant_is_not_used_after_the_server_announced_a_drain(self):
+        """Guards against requests to a draining server."""
         zone = Zoned(state(server("s1", slots=2, long_slots=0)))
         first, second = zone.take(), zone.take()
         zone.admission.release(first, Shed(reason=ShedReason.DRAINING))
@@ -278,7 +281,7 @@
             self.assertEqual({"desk", "archive"}, set(turn))
 
     def test_a_waiter_at_a_shift_cap_does_not_block_others(self):
-        """Guards against a refusal that ends the service of a queue."""
+        """Guards against a rejection that stops the whole queue."""
         link = Link(name="l", source="mwanza", target="dar", mbit_per_s=100.0)
         shift = Shift(
             name="move",
@@ -308,6 +311,7 @@
         self.assertIsNotNone(home.grant)
 
     def test_a_waiter_whose_servers_are_excluded_does_not_block(self):
+        """Guards against a retry that blocks the waiters behind it."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
         grant = zone.take()
         retry = zone.admission.enqueue(
@@ -319,7 +323,7 @@
         self.assertIsNotNone(other.grant)
 
     def test_a_waiter_past_its_time_gets_no_slot(self):
-        """Guards against slots granted to requests that gave up."""
+        """Guards against slots granted to requests past their deadline."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
         grant = zone.take()
         late, next_one = zone.wait(left_s=0.5), zone.wait()
@@ -329,13 +333,14 @@
         self.assertIsNotNone(next_one.grant)
 
     def test_no_wait_for_a_service_without_a_server_in_use(self):
-        """Guards against callers held until their deadline for nothing."""
+        """Guards against callers that wait in vain until their deadline."""
         zone = Zoned(state(server("s1", state=ServerState.DRAIN)))
         with self.assertRaises(ChiverunError) as caught:
             zone.wait()
         self.assertEqual(ResultCode.NO_CAPACITY, caught.exception.code)
 
-    def test_a_request_that_cannot_start_in_time_is_refused_at_once(self):
+    def test_a_request_that_cannot_start_in_time_is_rejected_at_once(self):
+        """Guards against requests that wait although they must fail."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
         _learn(zone, READ, 0.1)
         zone.take()
@@ -366,15 +371,16 @@
         self.assertEqual(ResultCode.QUEUE_FULL, caught.exception.code)
         zone.wait(service="archive")
 
-    def test_old_slow_samples_do_not_refuse_for_ever(self):
-        """Guards against a refusal that prevents its own correction."""
+    def test_old_slow_samples_do_not_reject_for_ever(self):
+        """Guards against rejections that allow no new samples."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
         _learn(zone, READ, 1.0)
         self.assertIsNone(zone.take(left_s=0.5))
         zone.advance(10.0)
         self.assertIsNotNone(zone.take(left_s=0.5))
 
-    def test_threads_wait_and_are_woken(self):
+    def test_a_waiting_thread_is_woken(self):
+        """Guards against a thread that sleeps after its grant."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
         grant = zone.take()
         got = []
@@ -389,9 +395,9 @@
         self.assertEqual(1, len(got))
 
 
-class LearntLengthTest(unittest.TestCase):
+class OverdueClassTest(unittest.TestCase):
     def test_overdue_class_leaves_slots_to_others(self):
-        """Guards against a short class that runs long in all slots."""
+        """Guards against an overdue short class that fills all slots."""
         zone = Zoned(state(*[server(f"s{i}", long_slots=0) for i in "1234"]))
         _learn(zone, READ, 0.01)
         stuck = [zone.take() for _ in range(4)]
@@ -405,6 +411,7 @@
         self.assertIsNotNone(zone.take())
 
     def test_overdue_request_counts_as_long_for_its_server(self):
+        """Guards against more long requests than a server has slots for."""
         zone = Zoned(state(server("s1", slots=4, long_slots=1)))
         _learn(zone, READ, 0.01)
         grant = zone.take()
--- a/tests/core/test_choice.py
+++ b/tests/core/test_choice.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a server, its health and learnt times."""
+"""Tests of server choice, server health and observed running times."""
 
 import random
 import unittest
@@ -53,7 +53,7 @@
 
 
 def _naive_allowed(rows: list[dict], index: int) -> bool:
-    """Say in plain words whether a server may be chosen at all."""
+    """Return whether a server may be chosen at all."""
     row = rows[index]
     return row["free"] and row["fits"] and row["out"] != "draining"
 
@@ -62,10 +62,11 @@
     @settings(derandomize=True, max_examples=500, deadline=None)
     @given(_SERVERS, st.integers(0, 99), st.booleans())
     def test_against_a_naive_choice(self, rows, seed, may_probe):
-        """The naive choice draws any allowed server, the real one a good one.
+        """Guards against the choice of an unusable server.
 
-        Never a server without a free slot, a drained or an excluded one;
-        ejected and slow ones only when there is no other to wait for.
+        Servers without a free slot, draining and excluded ones are never
+        chosen. Ejected and slow ones are chosen only if the service has no
+        normal server to wait for.
         """
         now = 1000.0
         table = {}
@@ -113,7 +114,11 @@
             self.assertEqual(60.0, rows[place]["age"])
 
     def test_quality_against_a_naive_choice(self):
-        """Two servers of ten run 10 times slower; count requests there."""
+        """Guards against requests to slow servers.
+
+        Two of ten servers are 10 times slower. They get less than a tenth of
+        the requests that a uniform random choice sends them.
+        """
         zone = Zoned(state(*[server(f"s{i}") for i in range(10)]))
         naive = random.Random(1)
         slow = {"s0", "s1"}
@@ -133,6 +138,7 @@
         self.assertLess(counts["real"], 0.1 * counts["naive"])
 
     def test_the_faster_of_two_is_chosen(self):
+        """Guards against a choice that ignores slowness."""
         zone = Zoned(state(server("s1", slots=8), server("s2", slots=8)))
         row = zone.admission._health["s1"]
         row.slowness, row.measured_at = 2.5, zone.clock.monotonic()
@@ -140,7 +146,7 @@
         self.assertEqual(["s2"] * 8, names)
 
     def test_long_requests_do_not_make_a_server_look_slow(self):
-        """Guards against comparing servers by their mix of requests."""
+        """Guards against comparing servers by their mix of classes."""
         zone = Zoned(state(server("s1", long_slots=4), server("s2")))
         for request_class, seconds in ((READ, 0.01), (EXPORT, 0.5)) * 60:
             grant = zone.take(request_class, left_s=9.0)
@@ -171,7 +177,7 @@
         (Shed(reason=ShedReason.DRAINING), 0.01, 1, Standing.DRAINING),
         (Shed(reason=ShedReason.DEADLINE), 0.01, 5, Standing.OPEN),
         (TimedOut(), 2.0, 3, Standing.EJECTED),
-        # A caller's deadline of 5 ms says nothing about the server.
+        # A timeout at a caller's deadline of 5 ms is no sign of a failure.
         (TimedOut(), 0.005, 9, Standing.OPEN),
     )
     def test_standing_after_ends(self, end, latency_s, count, expected):
@@ -187,7 +193,10 @@
         self.assertTrue(is_slow(row))
 
     def test_a_returning_server_starts_slowly(self):
-        """Guards against a cold server that gets its full share at once."""
+        """Guards against a cold server that gets its full share at once.
+
+        After an ejection only one request is admitted at first.
+        """
         zone = Zoned(state(server("s1", slots=8, long_slots=0)))
         for _ in range(3):
             zone.admission.release(zone.take(), NotSent(detail="test"))
@@ -198,6 +207,7 @@
         self.assertEqual(7, len(zone.take_all()))
 
     def test_a_new_server_of_a_running_instance_starts_slowly(self):
+        """Guards against a cold server that gets its full share at once."""
         zone = Zoned(state(server("s1", slots=1)))
         zone.admission.release(zone.take(), OK)
         zone.state = state(server("s1", slots=1), server("s2", slots=8))
@@ -206,12 +216,13 @@
         self.assertEqual(1, names.count("s2"))
 
     def test_a_cancelled_exchange_is_no_sign_of_recovery(self):
-        """Guards against probes without end of a server that stays slow."""
+        """Guards against frequent probes of a server that stays slow."""
         row = ServerHealth(name="s1", slowness=9.0, measured_at=1000.0)
         observe_at_least(row, 0.031, 0.01, 1004.0)
         self.assertEqual(9.0, aged_slowness(row, 1004.0))
 
     def test_probes_get_rarer_while_a_server_stays_slow(self):
+        """Guards against a constant rate of probes that are slow."""
         row = ServerHealth(name="s1")
         now, gaps = 1000.0, []
         for _ in range(5):
@@ -223,7 +234,7 @@
         self.assertLess(4 * gaps[0], gaps[4])
 
     def test_load_reports_attract_no_traffic(self):
-        """Health rows have no field that a report could lower."""
+        """Guards against health that depends on delayed load reports."""
         names = set(ServerHealth.__dataclass_fields__)
         self.assertFalse([n for n in names if "load" in n or "report" in n])
 
@@ -252,7 +263,7 @@
 
 class EjectedTest(unittest.TestCase):
     def test_all_ejected_still_get_single_requests(self):
-        """Guards against a wrong ejection of all that stops a service."""
+        """Guards against a wrong ejection of all servers of a service."""
         zone = Zoned(state(server("s1"), server("s2")))
         for row in zone.admission._health.values():
             row.ejected_until = zone.clock.monotonic() + 10
--- a/tests/core/test_grants.py
+++ b/tests/core/test_grants.py
@@ -1,4 +1,4 @@
-"""Tests of the slots that grants in use hold."""
+"""Tests of the slots held by grants."""
 
 import unittest
 
@@ -48,16 +48,16 @@
         self.assertFalse(self.table.seat_in_use(grant.seat))
 
     def test_grant_is_given_back_once(self) -> None:
-        """Guards against a slot that is freed for another's request."""
+        """Guards against freeing a slot that another request uses."""
         grant = self._take()
         self.assertTrue(self.table.give_back(grant))
         self.assertFalse(self.table.give_back(grant))
 
     def test_occupied_slot_is_freed_at_its_time(self) -> None:
-        """Guards against work that runs beyond a server's slots.
+        """Guards against more requests than a server has slots.
 
-        After an unknown outcome the server may run the request until its
-        deadline.
+        After an unknown outcome the server may still run the request until
+        its deadline.
         """
         grant = self._take()
         self.table.give_back(grant)
--- a/tests/core/test_limits.py
+++ b/tests/core/test_limits.py
@@ -1,4 +1,4 @@
-"""Byte rates, and links over a handover of seats (P2)."""
+"""Tests of byte rates, and of links during a transfer of seats (P2)."""
 
 import unittest
 
@@ -19,7 +19,7 @@
 
 
 class _FixedTimes:
-    """Books the time of sending when a message is ready, and keeps it."""
+    """Byte rate that fixes the send time when a message is booked."""
 
     def __init__(self, *, bytes_per_s: float) -> None:
         self.bytes_per_s = bytes_per_s
@@ -41,7 +41,7 @@
 
 
 def most_in_a_second(sent: list[tuple[float, int]]) -> int:
-    """Return the most bytes in any window of one second, the plain way."""
+    """Return the maximum number of bytes in any window of one second."""
     return max(
         (
             sum(size for at, size in sent if start <= at < start + 1.0)
@@ -52,7 +52,7 @@
 
 
 def _play(rates, sizes, changes, steps: int = 400) -> list:
-    """Offer messages to rates in turn; return what was sent and when."""
+    """Offer messages to rates; return the (time, size) of each sent one."""
     waiting = []
     sent = []
     for step in range(steps):
@@ -79,7 +79,10 @@
 
 
 def _moved(step: int) -> dict:
-    """Return a move of half the rate to another holder, opening later."""
+    """Return rate changes that transfer half of the rate at `step`.
+
+    The new holder's half opens 63 steps later.
+    """
     opens = step + 63
     return {
         0: [(0, _RATE), (1, 0)],
@@ -92,14 +95,17 @@
     @settings(max_examples=60, derandomize=True, deadline=None)
     @given(_SIZES, st.integers(1, 150))
     def test_no_second_exceeds_the_rate_when_seats_move(self, sizes, step):
-        """The earlier holder's booked bytes must slow down at once."""
+        """Guards against booked bytes that keep the rate before a transfer."""
         rates = [ByteRate(bytes_per_s=0) for _ in range(2)]
         sent = _play(rates, sizes, _moved(step))
         self.assertLessEqual(most_in_a_second(sent), _RATE)
 
     @params(ByteRate, _FixedTimes)
     def test_message_before_the_window_counts(self, kind):
-        """Times spaced by size alone let one message too many through."""
+        """Guards against send times spaced by message size alone.
+
+        They admit one message too many in the first second.
+        """
         sizes = {0: [(0, 500)] + [(0, 100)] * 20}
         sent = _play([kind(bytes_per_s=_RATE)], sizes, {})
         exceeds = most_in_a_second(sent) > _RATE
@@ -107,7 +113,10 @@
 
     @params(ByteRate, _FixedTimes)
     def test_backlog_of_an_earlier_holder(self, kind):
-        """Times fixed at the old rate overlap with the new holder's."""
+        """Guards against send times fixed at the rate before a transfer.
+
+        They overlap with those of the new holder.
+        """
         rates = [kind(bytes_per_s=0) for _ in range(2)]
         sizes = {1: [(0, 250)] * 24, 80: [(1, 250)] * 8}
         sent = _play(rates, sizes, _moved(5))
@@ -115,7 +124,7 @@
         self.assertEqual(kind is _FixedTimes, exceeds)
 
     def test_idle_rate_admits_any_size(self):
-        """A class of large responses must not be refused for ever."""
+        """Guards against rejecting a class of large responses for ever."""
         rate = ByteRate(bytes_per_s=_RATE)
         self.assertTrue(rate.try_admit(0.0, 100 * _RATE, 2.0))
         self.assertFalse(rate.try_admit(0.0, 10, 2.0))
@@ -125,7 +134,7 @@
     @settings(max_examples=100, derandomize=True, deadline=None)
     @given(st.lists(st.floats(0.0, 0.5), max_size=60), st.integers(0, 5))
     def test_window_limiter_matches_a_plain_count(self, gaps, cap):
-        """Against a version that keeps every admission."""
+        """Compares the limiter with a full list of admissions."""
         limiter = WindowLimiter(cap=cap, window_s=1.0)
         taken: list[float] = []
         now = 0.0
@@ -143,7 +152,7 @@
         self.links = Links(
             zone="a1", clock=self.clock, sleep=self.clock.advance
         )
-        # Of 8 Mbit/s, requests have 950 kB/s and each of 6 seats a sixth.
+        # Of 8 Mbit/s, 950 kB/s are for requests, a sixth for each of 6 seats.
         self.state = cap_states.make_state()
 
     def _update(self, seats, **changes) -> None:
@@ -153,7 +162,7 @@
         )
 
     def test_seat_counts_once_it_is_open(self):
-        """Until then its earlier holder may still send."""
+        """Guards against sends while the earlier holder may still send."""
         opens = {s: 1001.25 for s in range(3, 6)}
         self._update(range(6), opens=opens)
         reserved = self.links.reserve("b", 1, 1.0)
@@ -163,7 +172,7 @@
         self.assertAlmostEqual(950_000, reserved.rate.bytes_per_s, delta=3)
 
     def test_nothing_is_admitted_after_a_pause(self):
-        """The seats may have been claimed meanwhile."""
+        """Guards against the use of seats claimed during a pause."""
         self._update(range(6))
         self.clock.advance(2.5)
         self.assertIsNone(self.links.reserve("b", 1, 1.0))
@@ -171,14 +180,14 @@
         self.assertIsNone(self.links.reserve("b", 1, 1.0))
 
     def test_message_too_late_is_not_sent(self):
-        """A response after its deadline is of no use to anyone."""
+        """Guards against responses sent after their deadline."""
         self._update(range(6))
         first = self.links.reserve("b", 10, 10.0)
         self.assertFalse(self.links.pace(first, 3_000_000, 1001.0))
         self.assertLessEqual(self.clock.monotonic(), 1001.01)
 
     def test_large_class_leaves_room_for_others(self):
-        """Reserving 1 MB for responses of 2 KB strands the link."""
+        """Guards against an idle link: 1 MB reserved for responses of 2 KB."""
         self._update(range(6))
         admitted = 0
         for _ in range(60):
@@ -191,13 +200,13 @@
         self.assertIsNotNone(self.links.reserve("b", 65536, 2.0))
 
     def test_headers_count(self):
-        """Responses may carry more headers than a fixed allowance."""
+        """Guards against a fixed allowance for headers of any size."""
         small = message_bytes((), b"")
         large = message_bytes([("x-a", "v" * 5000)], b"")
         self.assertEqual(5000 + 7, large - small)
 
     def test_expected_size_fades(self):
-        """One large response must not close a link for its class."""
+        """Guards against one large response that blocks its class."""
         sizes = ResponseSizes()
         self.assertIsNone(sizes.expected("c", 0.0))
         sizes.note("c", 800, 0.0)
@@ -205,8 +214,11 @@
         self.assertEqual(1200, sizes.expected("c", 0.0))
         self.assertEqual(600, sizes.expected("c", 60.0))
 
-    def test_response_above_a_second_is_refused_before_it_runs(self):
-        """Sent in one piece it exceeds the rate; run, it is lost."""
+    def test_response_above_a_second_is_rejected_before_it_runs(self):
+        """Guards against running a request whose response cannot be sent.
+
+        Sent in one piece, the response would exceed the rate.
+        """
         self._update(range(6))
         self.links.note_response("s/huge", 2_000_000)
         held = self.links.reserve_response("b", "s/huge", 10**7, 9.0)
--- a/tests/core/test_loads.py
+++ b/tests/core/test_loads.py
@@ -1,4 +1,4 @@
-"""Tests of the load estimate of a server."""
+"""Tests of the estimated load of a server."""
 
 import unittest
 
@@ -7,6 +7,7 @@
 
 class LoadEstimateTest(unittest.TestCase):
     def test_report_ages_and_own_requests_count_exactly(self) -> None:
+        """Guards against old reports that hide the current load."""
         load = LoadEstimate(in_flight=2)
         load.report(running=4, waiting=3, now=10.0)
         self.assertAlmostEqual(load.total(10.0), 7.0)
--- a/tests/core/test_lookup.py
+++ b/tests/core/test_lookup.py
@@ -1,4 +1,4 @@
-"""The region of a caller, and the block table while it is rebuilt."""
+"""Tests of the caller's region, and of updates of the block table."""
 
 import threading
 import unittest
@@ -21,13 +21,13 @@
         ("", None),
     )
     def test_region_of_an_address(self, remote, expected):
-        """An unknown address must not fail the request."""
+        """Guards against requests that fail because of an unknown address."""
         state = cap_states.make_state()
         table = BlockTables().get(state)
         self.assertEqual(expected, origin_region(state, table, remote))
 
     def test_earlier_table_serves_while_one_is_built(self):
-        """A rebuild of all client blocks must not stop the look-ups."""
+        """Guards against look-ups that wait for an update of the table."""
         tables = BlockTables()
         first = tables.get(cap_states.make_state())
         changed = cap_states.make_state(zones=("b1", "a1"))
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of failure detection."""
+"""Tests of failure detection and of the bounds of its tables."""
 
 import random
 import unittest
@@ -50,14 +50,15 @@
         (MemberState.SUSPECT, MemberState.DEAD, 1, MemberState.DEAD),
     )
     def test_updates_in_any_order(self, state, news, number, after) -> None:
-        """A late update must not undo a refutation."""
+        """Guards against a delayed update that undoes a refutation."""
         table = _table("b")
         table.rows["b"].state = state
         update = MemberUpdate(instance="b", incarnation=number, state=news)
         membership.merge_update(table, update, 1.0)
         self.assertIs(after, table.rows["b"].state)
 
-    def test_silent_member_dies(self) -> None:
+    def test_silent_member_is_declared_dead(self) -> None:
+        """Guards against a failed member that stays alive or suspect."""
         table = _table("b")
         rng = random.Random(1)
         now = 0.0
@@ -70,7 +71,7 @@
         self.assertIs(MemberState.DEAD, table.rows["b"].state)
 
     def test_suspects_get_their_time_after_a_pause(self) -> None:
-        """A resumed process declared all its suspects dead at once."""
+        """Guards against a resumed process that declares suspects dead."""
         table = _table("b")
         table.rows["b"].state = MemberState.SUSPECT
         membership.forget_silence(table, 100.0)
@@ -83,7 +84,11 @@
         ("other life", "b-2", 5, True),
     )
     def test_end_of_a_lifetime(self, name, life, sequence, is_ended) -> None:
-        """Only an answer from the address proves that a process ended."""
+        """Guards against ending a lifetime without proof.
+
+        Only an answer of another lifetime from the same address, to a ping
+        sent later, proves that a process has ended.
+        """
         table = _table()
         table.sequence = 4
         membership.merge_advert(table, _advert("b"), _ZONE, 0.0)
@@ -92,6 +97,7 @@
         self.assertEqual(is_ended, "b-1" in table.ended, name)
 
     def test_dead_member_that_answers_is_a_suspect(self) -> None:
+        """Guards against live members that stay dead."""
         table = _table("b")
         table.rows["b"].state = MemberState.DEAD
         membership.note_answer(table, _advert("b"), 1, 7.0)
@@ -101,7 +107,7 @@
         )
 
     def test_tables_are_bounded(self) -> None:
-        """72 zones of 67 instances must not all be kept."""
+        """Guards against rows for all instances of 72 zones of 67."""
         table = MemberTable()
         for number in range(72 * 67):
             advert = _advert(f"r{number}", zone=f"zone-{number % 72}")
--- a/tests/core/test_peertable.py
+++ b/tests/core/test_peertable.py
@@ -1,4 +1,4 @@
-"""Tests of which machines count as live, and which reads the store."""
+"""Tests of the liveness of machines and the choice of the reader."""
 
 import unittest
 
@@ -36,7 +36,7 @@
         self.table = PeerTable(me=_machine("m5"))
 
     def test_silent_machine_is_not_named(self) -> None:
-        # A look-up must not name a machine long after its death.
+        # Guards against look-ups that return a failed machine.
         self.table.note_beat(_beat("m1"), 10.0)
         self.assertEqual(len(self.table.live(10.0 + SILENT_AFTER_S / 2)), 1)
         self.assertEqual(self.table.live(10.1 + SILENT_AFTER_S), [])
@@ -69,13 +69,13 @@
         ([], True, True),
         ([_beat("m9")], True, True),
         ([_beat("m1")], True, False),
-        # The store turns the first one away.
+        # The reads of the first machine fail.
         ([_beat("m1", reads_store=False)], True, True),
         ([_beat("m1", leaving=True)], True, True),
-        # This machine is turned away, another one reads.
+        # The reads of this machine fail, and another one reads.
         ([_beat("m9")], False, False),
         ([_beat("m9", reads_store=False)], False, True),
-        # A machine of another region does not relay here.
+        # A machine of another region does not read for this one.
         ([_beat("m1", "r2")], True, True),
     )
     def test_reader(self, beats, reads_store, expected) -> None:
@@ -101,7 +101,7 @@
         self.assertEqual(len(self.table.beat_targets(19.0)), len(near))
 
     def test_machines_replace_a_silent_relay_one_by_one(self) -> None:
-        # All at once would be as many reads of the store as machines.
+        # Guards against simultaneous store reads by all machines.
         self.table.note_machines([_machine(f"m{i}") for i in range(30)])
         self.table.relay_heard_at = 10.0
         self.assertFalse(self.table.is_relay_silent(11.1))
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of placement: stable, fair and the same on every machine."""
+"""Tests of placement: stable, fair and equal on all machines."""
 
 import unittest
 
@@ -34,12 +34,12 @@
 
 class FairSharesTest(unittest.TestCase):
     @params(
-        # Each region carries its own demand.
+        # Each region covers its own demand.
         ({"a": 8, "b": 8, "c": 8}, "a", {"a": 1.0}),
-        # A third of the demand, a sixth of the slots: half goes elsewhere.
+        # With a third of the demand and a sixth of the slots, half is moved.
         ({"a": 4, "b": 10, "c": 10}, "a", {"a": 0.5, "b": 0.25, "c": 0.25}),
         ({"a": 4, "b": 10, "c": 10}, "b", {"b": 1.0}),
-        # No server at all is no reason to fail.
+        # Without any server the source keeps its requests.
         ({}, "a", {"a": 1.0}),
         ({"b": 8}, "a", {"a": 0.0, "b": 1.0}),
     )
--- a/tests/core/test_retries.py
+++ b/tests/core/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of the retry budget, hedge plans and threads of long requests."""
+"""Tests of retry budgets, hedge plans and threads of long requests."""
 
 import unittest
 
@@ -29,14 +29,15 @@
             self.assertLessEqual(10 * extras, 10 * BUDGET_START + firsts)
 
     def test_ten_first_attempts_pay_for_one_more(self):
-        """Guards against rounding: ten times 0.1 is less than 1 in floats."""
+        """Guards against rounding: ten floats of 0.1 add up to less than 1."""
         budget = RetryBudget(start=0.0)
         for _ in range(10):
             self.assertFalse(budget.withdraw())
             budget.deposit()
         self.assertTrue(budget.withdraw())
 
-    def test_a_quiet_time_saves_up_no_storm(self):
+    def test_budget_does_not_accumulate_without_limit(self):
+        """Guards against a burst of retries after a time without failures."""
         budget = RetryBudget()
         for _ in range(10000):
             budget.deposit()
@@ -65,7 +66,7 @@
 class LongThreadsTest(unittest.TestCase):
     @params((1, 1), (2, 1), (40, 20), (41, 20))
     def test_long_requests_leave_threads_to_short_ones(self, threads, most):
-        """Guards against long requests that hold all of an entry's threads."""
+        """Guards against long requests that hold all threads of an entry."""
         limit = LongThreads(threads=threads)
         self.assertEqual(most, sum(limit.try_enter() for _ in range(99)))
         limit.leave()
--- a/tests/core/test_seats.py
+++ b/tests/core/test_seats.py
@@ -1,4 +1,4 @@
-"""Tests of the decisions about seats."""
+"""Tests of claims, transfers and records of seats."""
 
 import unittest
 
@@ -93,19 +93,20 @@
         ),
     )
     def test_claims(self, name, owner, plan, expected) -> None:
-        """A wrong claim lets two instances use one seat."""
+        """Guards against wrong claims, by which two instances use a seat."""
         record = SeatRecord(owners={0: owner} if owner else {})
         claims = select_claims(record, _plan(**plan), _ME)
         self.assertEqual(expected, claims, name)
 
-    def test_seat_given_up_counts_as_used(self) -> None:
+    def test_released_seat_counts_as_used(self) -> None:
+        """Guards against opening a seat whose requests may still run."""
         record = SeatRecord(epochs={0: 5})
         self.assertEqual(_claim(5), select_claims(record, _plan(), _ME))
 
 
 class RecordTest(unittest.TestCase):
     def test_jobs_out_of_order(self) -> None:
-        """A retried write must not undo a later one."""
+        """Guards against a retried write that undoes a later one."""
         old, new = _owner(epoch=4), _owner(life="c1", epoch=5)
         for order in ((old, new), (new, old)):
             record = SeatRecord()
@@ -117,9 +118,9 @@
         self.assertEqual(given_up, with_owners(given_up, {0: new}))
 
 
-class MarksTest(unittest.TestCase):
-    def test_the_later_mark_wins_everywhere(self) -> None:
-        """Two holders with equal epochs both kept the seat."""
+class KnownHoldersTest(unittest.TestCase):
+    def test_the_newer_holder_wins_in_any_order(self) -> None:
+        """Guards against two holders of equal epochs that both keep a seat."""
         one, two = SeatTable(), SeatTable()
         marks = [(4, "x"), (5, "x"), (5, "y")]
         for epoch, life in marks:
@@ -136,7 +137,8 @@
         self.assertEqual((), later_marks(one, (fresh,)))
 
     @params(-1, SEATS_MAX)
-    def test_marks_are_bounded(self, seat) -> None:
+    def test_holders_are_bounded(self, seat) -> None:
+        """Guards against memory that grows with invalid messages."""
         table = SeatTable()
         self.assertFalse(note_mark(table, seat, Mark(1, "x")))
         self.assertEqual({}, table.marks)
@@ -153,7 +155,11 @@
         ({"state_since": 99.5, "acked_at": 0.0}, False),
     )
     def test_only_own_silence_counts(self, fields, is_ended) -> None:
-        """News of a death alone made live holders lose their seats."""
+        """Guards against live holders that lose their seats.
+
+        A member that others have declared dead may be alive, so this
+        instance's own pings must have failed as well.
+        """
         values = {
             "state": MemberState.DEAD,
             "state_since": 90.0,
@@ -183,7 +189,10 @@
         ("shorter deadline", {"classes": (SHORT,)}, 1.5),
     )
     def test_work_under_an_earlier_ticket(self, name, fields, least) -> None:
-        """Slots opened while work under an earlier ticket still ran."""
+        """Guards against slots that open too early after a ticket.
+
+        Requests under the earlier ticket may still run on them.
+        """
         table, old = SeatTable(), make_state()
         new = make_state(**fields)
         note_old_classes(table, old, new, ZONE, 100.0)
@@ -195,7 +204,10 @@
         self.assertLess(late.short_from, 204.0, name)
 
     def test_work_under_another_number_of_seats(self) -> None:
-        """Slots moved to seats of other holders while work still ran."""
+        """Guards against slots that open too early for another seat.
+
+        Requests of the earlier seat may still run on them.
+        """
         table, old, new = SeatTable(), make_state(), make_state(seats=8)
         table.held[0] = Held(epoch=1, short_from=0.0, long_from=0.0)
         note_old_classes(table, old, new, ZONE, 100.0)
--- a/tests/core/test_sendbudget.py
+++ b/tests/core/test_sendbudget.py
@@ -1,4 +1,4 @@
-"""Tests of bounds that all machines share without talking."""
+"""Tests of limits that machines share without coordination."""
 
 import random
 import unittest
@@ -15,7 +15,7 @@
 class SendBudgetTest(unittest.TestCase):
     @params(1, 8, 78)
     def test_sum_over_machines_stays_below_the_bound(self, machines) -> None:
-        # All retry as often as they may: the sum of any window must hold.
+        # Guards against a sum above the limit if all machines use their part.
         rng = random.Random(machines)
         budgets = [SendBudget(bounds=_BOUNDS) for _ in range(machines)]
         requests: list[float] = []
--- a/tests/core/test_shift.py
+++ b/tests/core/test_shift.py
@@ -1,4 +1,4 @@
-"""Growth of shifts and the selection of instances for moved requests."""
+"""Tests of the growth of shifts and the targets of moved requests."""
 
 import unittest
 
@@ -24,7 +24,7 @@
 
 
 def _views(now: float, age_s: float = 0.0) -> list:
-    """Return four instances of region b that hold three seats each."""
+    """Return views of four instances of region b with three seats each."""
     halves = (range(0, 6, 2), range(1, 6, 2))
     return [
         cap_states.view(
@@ -56,7 +56,7 @@
     def test_grows_on_fresh_room_after_the_warm_time(
         self, measurement, wait_s, expected
     ):
-        """A missing, stale or full measurement must not speed growth."""
+        """Guards against growth without recently measured free slots."""
         progress = ShiftProgress(shift=cap_states.shift())
         grow(progress, _FRESH, 100.0)
         self.assertEqual(0.1, progress.fraction)
@@ -64,14 +64,14 @@
         self.assertAlmostEqual(expected, progress.fraction)
 
     def test_first_request_after_a_gap_grows_one_step(self):
-        """A late call must not make up for steps: caches are cold."""
+        """Guards against several steps at once, while caches are cold."""
         progress = ShiftProgress(shift=cap_states.shift())
         grow(progress, _FRESH, 0.0)
         grow(progress, _FRESH, 1000.0)
         self.assertAlmostEqual(0.2, progress.fraction)
 
     def test_whole_region_is_moved_at_fraction_one(self):
-        """A drain of a region must not leave a rest behind."""
+        """Guards against requests that stay in a drained region."""
         progress = ShiftProgress(shift=cap_states.shift(fraction=1.0))
         for step in range(10):
             grow(progress, _FRESH, step * 1.0)
@@ -79,7 +79,7 @@
 
     @params((0.5, 0.4), (0.2, 0.2))
     def test_changed_shift_keeps_its_fraction(self, goal, expected):
-        """A change of cap must not move traffic back at once."""
+        """Guards against traffic that moves back on a change of the cap."""
         progress = ShiftProgress(shift=cap_states.shift(), fraction=0.4)
         changed = followed_by(progress, cap_states.shift(fraction=goal))
         self.assertEqual(expected, changed.fraction)
@@ -87,7 +87,7 @@
     @settings(max_examples=100, derandomize=True, deadline=None)
     @given(st.floats(0.01, 1.0), st.integers(1, 500))
     def test_diffusion_stays_within_one_of_the_fraction(self, fraction, n):
-        """Random draws would differ by their deviation."""
+        """Guards against the deviation of random draws."""
         progress = ShiftProgress(shift=cap_states.shift(), fraction=fraction)
         moved = sum(take(progress) for _ in range(n))
         self.assertLessEqual(abs(moved - fraction * n), 1.0 + 1e-6)
@@ -97,13 +97,16 @@
     @settings(max_examples=100, derandomize=True, deadline=None)
     @given(st.integers(1, 40))
     def test_portions_add_up_and_none_is_zero(self, cap):
-        """With a cap of 1 only one of four instances admits anything."""
+        """Guards against offers to instances without a portion of the cap."""
         targets = _targets(cap_states.shift(cap_per_s=cap))
         self.assertEqual(cap, sum(t.portion for t in targets))
         self.assertTrue(all(t.portion for t in targets))
 
     def test_cap_of_one_reaches_its_only_holder(self):
-        """By free slots alone the holder could be tried last or never."""
+        """Guards against targets ordered by free slots alone.
+
+        The only holder of a unit could then be tried last or never.
+        """
         shift = cap_states.shift(cap_per_s=1)
         progress = ShiftProgress(shift=shift, fraction=1.0)
         state = cap_states.make_state([shift], zones=_ZONES)
@@ -114,7 +117,7 @@
         self.assertEqual(1, portion)
 
     def test_offers_follow_the_portions(self):
-        """Always offering to the emptiest wastes the others' parts."""
+        """Guards against unused portions of instances that are less idle."""
         shift = cap_states.shift(cap_per_s=18)
         progress = ShiftProgress(shift=shift)
         targets = _targets(shift)
@@ -123,8 +126,8 @@
             offered = firsts.count(target)
             self.assertAlmostEqual(90 * target.portion / 18, offered, delta=1)
 
-    def test_refusing_instance_rests(self):
-        """Each refusal costs a moved request a round trip."""
+    def test_rejecting_instance_is_skipped_for_a_while(self):
+        """Guards against offers that cost a round trip and are rejected."""
         shift = cap_states.shift(cap_per_s=12)
         progress = ShiftProgress(shift=shift)
         targets = _targets(shift)
@@ -135,7 +138,7 @@
         self.assertEqual(2, len(later))
 
     @params((0.0, 4), (6.0, 0))
-    def test_instances_not_heard_of_are_left_out(self, age_s, count):
-        """Each try of one that is cut off costs a connect timeout."""
+    def test_instances_without_recent_advert_are_skipped(self, age_s, count):
+        """Guards against connect timeouts to unreachable instances."""
         shift = cap_states.shift(cap_per_s=12)
         self.assertEqual(count, len(_targets(shift, age_s)))
--- a/tests/core/test_shift_cap.py
+++ b/tests/core/test_shift_cap.py
@@ -1,4 +1,4 @@
-"""The cap of a shift over all instances of the target region (P1)."""
+"""Tests of a shift's cap over all instances of the target region (P1)."""
 
 import random
 import unittest
@@ -39,7 +39,7 @@
 
 
 class _Region:
-    """Four instances of zone b1 that hold and hand over its seats."""
+    """Four instances of zone b1 that hold and transfer its seats."""
 
     def __init__(self, cap: int, *, opens_at_once: bool = False) -> None:
         self.clock = ManualClock()
@@ -68,7 +68,7 @@
         self.opens[seat] = now if self._opens_at_once else held.short_from
 
     def restart(self, index: int) -> None:
-        """Replace an instance's process: its window is forgotten."""
+        """Replace an instance's process, which loses its window."""
         self.instances[index] = cap_states.admission("b1", self.clock)
         for seat, holder in self.seats.items():
             if holder == index:
@@ -91,7 +91,7 @@
             self.instances[index].release(grant, _OK)
 
     def play(self, steps) -> int:
-        """Play steps and return the number of arrivals over the cap."""
+        """Run steps and return the number of arrivals over the cap."""
         self.publish()
         for kind, first, second in steps:
             match kind:
@@ -127,23 +127,26 @@
     @settings(max_examples=150, derandomize=True, deadline=None)
     @given(st.integers(1, 30), _STEPS)
     def test_no_second_exceeds_the_cap(self, cap, steps):
-        """Handovers and restarts must not count a part of the cap twice."""
+        """Guards against transfers and restarts that use a portion twice."""
         self.assertEqual(0, _Region(cap).play(steps))
 
     def test_seat_that_opens_at_once_would_exceed_it(self):
-        """The window of the earlier holder still counts."""
+        """Guards against a seat that opens within its last holder's window."""
         self.assertGreater(_Region(6, opens_at_once=True).play(_HANDED), 0)
         self.assertEqual(0, _Region(6).play(_HANDED))
 
     @params((WindowLimiter, 0), (_Bucket, 9))
     def test_burst_on_top_of_the_rate(self, limiter, over):
-        """A token bucket admits its burst and its rate in one second."""
+        """Guards against a token bucket.
+
+        It admits its burst on top of its rate in one second.
+        """
         one = limiter(cap=10, window_s=SHIFT_WINDOW_S)
         times = [i * 0.01 for i in range(300) if one.try_take(i * 0.01)]
         self.assertEqual(over > 0, count_over(times, 10) >= max(1, over))
 
     def test_renamed_shift_keeps_its_window(self):
-        """A ticket with a new name must not open a second window."""
+        """Guards against a second window for a shift of another name."""
         region = _Region(6)
         region.publish()
         for index in range(4):
@@ -158,7 +161,10 @@
     def test_requests_are_counted_by_region_of_the_caller(
         self, source, origin, most
     ):
-        """A look-up may have sent source-region callers elsewhere."""
+        """Guards against uncounted callers of the source region.
+
+        A look-up may have directed them to an instance elsewhere.
+        """
         clock = ManualClock()
         state = cap_states.make_state([cap_states.shift(cap_per_s=8)])
         one = cap_states.admission("b1", clock)
@@ -173,7 +179,7 @@
         self.assertEqual(most, admitted)
 
     def test_grant_older_than_the_margin_is_not_sent(self):
-        """After a pause it would add to the arrivals of a later second."""
+        """Guards against arrivals in a later second after a pause."""
         clock = ManualClock()
         one = cap_states.admission("b1", clock)
         state = cap_states.make_state([cap_states.shift()])
@@ -187,7 +193,7 @@
 
 class UncappedTest(unittest.TestCase):
     def test_random_draws_exceed_the_cap(self):
-        """The naive version: draws against the fraction and no cap."""
+        """Shows that random draws by fraction, without a cap, exceed it."""
         rng = random.Random(1)
         times = [i * 0.01 for i in range(500) if rng.random() < 0.5]
         self.assertGreater(count_over(times, 20), 0)
--- a/tests/core/test_splits.py
+++ b/tests/core/test_splits.py
@@ -1,4 +1,4 @@
-"""Tests of the division of a route's requests over its parts."""
+"""Tests of the split of a route's requests over services."""
 
 import collections
 import unittest
--- a/tests/core/test_waiting.py
+++ b/tests/core/test_waiting.py
@@ -32,8 +32,8 @@
     def test_against_a_naive_queue(self, arrivals, slots):
         """Guards against blocked queues, lost waiters and unfair turns.
 
-        The naive queue serves all waiters in order of arrival and stops at
-        the first one that it cannot serve.
+        The naive queue serves waiters in order of arrival and stops at the
+        first one that it cannot serve.
         """
         queues = WaitQueues()
         waiters = []
@@ -93,8 +93,8 @@
             max_size=200,
         )
     )
-    def test_against_a_plain_recount(self, steps):
-        """Guards against overdue counts that drift or are not given back."""
+    def test_against_a_plain_count(self, steps):
+        """Guards against overdue counts that drift or never fall."""
         table = OverdueTable()
         live: dict[int, float] = {}
         now, counted = 0.0, 0
--- a/tests/core/zones.py
+++ b/tests/core/zones.py
@@ -71,7 +71,7 @@
 
 
 def seats(*indexes: int, opens_at: float = 0.0) -> tuple[HeldSeat, ...]:
-    """Return held seats; all four if no index is given."""
+    """Return held seats; all four without indexes."""
     return tuple(
         HeldSeat(index=i, short_from=opens_at, long_from=opens_at)
         for i in indexes or range(4)
@@ -79,7 +79,7 @@
 
 
 class Zoned:
-    """An Admission with a manual clock."""
+    """The admission of one instance, with a manual clock."""
 
     def __init__(self, current: State, held=None, seed: int = 1) -> None:
         self.clock = ManualClock()
@@ -91,7 +91,7 @@
         self.publish()
 
     def publish(self, **fields) -> None:
-        """Publish a snapshot, as the control tick does."""
+        """Publish a snapshot, like an iteration of the control loop."""
         values = {
             "state": self.state,
             "published_at": self.clock.monotonic(),
@@ -105,7 +105,7 @@
         self.admission.update(Snapshot(**values))
 
     def advance(self, seconds: float) -> None:
-        """Let time pass, with a control tick at its end."""
+        """Advance the clock and publish a snapshot."""
         self.clock.advance(seconds)
         self.publish()
 
@@ -128,14 +128,14 @@
             return None
 
     def take_all(self, request_class=READ, **fields) -> list:
-        """Take slots until one is refused."""
+        """Return grants of all free slots."""
         grants = []
         while grant := self.take(request_class, **fields):
             grants.append(grant)
         return grants
 
     def wait(self, request_class=READ, **fields):
-        """Queue a request."""
+        """Return the waiter of a queued request."""
         return self.admission.enqueue(
             self.work(request_class, **fields), lambda: None
         )
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -1,8 +1,8 @@
-"""Plain versions of the request path, for comparison in tests.
+"""Naive versions of the request path, for comparison in tests.
 
-``CHIVERUN_NAIVE=1 scripts/test.sh NAME`` runs a test against these instead
-of the modules under test. They have what a first version would have: a kept
-connection, a retry after a failure, a dictionary of keys, and a server on
+``CHIVERUN_NAIVE=1 scripts/test.sh NAME`` runs a test against them instead of
+the modules under test. They contain what a first version would: a kept-alive
+connection, a retry after a failure, a dictionary of keys, and a server of
 the standard library.
 """
 
@@ -27,13 +27,13 @@
 
 
 class NaiveBackends:
-    """Keeps one connection for each address; any failure is "not run"."""
+    """Keep one connection per address; report any failure as not sent."""
 
     def __init__(self, **_kwargs) -> None:
         self._conns: dict[str, http.client.HTTPConnection] = {}
 
     def exchange(self, address, req):
-        """Send a request, once more after a failure."""
+        """Send a request, with one retry after a failure."""
         for _ in range(2):
             conn = self._conns.get(address)
             if conn is None:
@@ -71,18 +71,18 @@
         return [str(n) for n in range(first, self._count)]
 
     def begin(self, key, _fingerprint, *, wait_until):
-        """Run unless there is a result."""
+        """Return a replay if there is a result, else a run."""
         if key in self._results:
             return Replay(result=self._results[key])
         return Run()
 
     def finish(self, key, result) -> None:
-        """Keep any result."""
+        """Store any result."""
         self._results[key] = result
 
 
 class NaiveWebServer:
-    """A server on the standard library that trusts what it reads."""
+    """A server of the standard library that does not validate requests."""
 
     def __init__(self, *, address, handler, threads) -> None:
         self._address = split_address(address)
@@ -119,7 +119,7 @@
 
 
 def main() -> None:
-    """Run an instance that runs every request it gets, whatever its key."""
+    """Run an instance that runs every request and ignores its key."""
     entry.Entry._handle_keyed = lambda self, _req, request: entry._reply(
         self._run(request)
     )
