--- a/chiverun/core/admission.py
+++ b/chiverun/core/admission.py
@@ -300,7 +300,7 @@
         with self._lock:
             return self._health.draining(now)
 
-    def room(self) -> dict[ServiceName, int]:
+    def free_slots(self) -> dict[ServiceName, int]:
         """Return the number of free slots for short requests by service."""
         now = self._clock.monotonic()
         with self._lock:
--- a/chiverun/core/health.py
+++ b/chiverun/core/health.py
@@ -42,7 +42,7 @@
 SHED_PAUSE_S = 0.2
 
 
-class Standing(enum.Enum):
+class Eligibility(enum.Enum):
     """Whether a server may be chosen for requests."""
 
     OPEN = "open"
@@ -72,13 +72,13 @@
     samples: int = 0
 
 
-def standing(row: ServerHealth, now: float) -> Standing:
+def eligibility(row: ServerHealth, now: float) -> Eligibility:
     """Return whether the server may be chosen at `now`."""
     if now < row.draining_until:
-        return Standing.DRAINING
+        return Eligibility.DRAINING
     if now < row.ejected_until:
-        return Standing.EJECTED
-    return Standing.OPEN
+        return Eligibility.EJECTED
+    return Eligibility.OPEN
 
 
 def record(
--- a/chiverun/core/sendbudget.py
+++ b/chiverun/core/sendbudget.py
@@ -45,7 +45,7 @@
         self._requests.append(now)
         self._expire(now)
 
-    def try_take(self, now: float, machines: int) -> bool:
+    def try_consume(self, now: float, machines: int) -> bool:
         """Admit one retry or hedge if this machine's part allows it."""
         self._expire(now)
         allowed = BUDGET_PART * (
@@ -76,7 +76,7 @@
         self._machine = machine
         self._limiter = WindowLimiter(cap=0, window_s=COLD_WINDOW_S)
 
-    def try_take(
+    def try_consume(
         self, now: float, per_s: float, machines: collections.abc.Collection
     ) -> bool:
         """Admit one send.
@@ -99,4 +99,4 @@
                 machines, key=lambda name: unit_hash(f"{self._server}\0{name}")
             )
             self._limiter.cap = int(self._machine in ranked[:sends])
-        return self._limiter.try_take(now)
+        return self._limiter.try_consume(now)
--- a/chiverun/core/shift.py
+++ b/chiverun/core/shift.py
@@ -37,7 +37,7 @@
 class Measurement:
     """Free slots at the target region for a service, and their age."""
 
-    room: int
+    free_slots: int
     age_s: float
 
 
@@ -70,7 +70,7 @@
     return cap_name(first) == cap_name(second)
 
 
-def followed_by(progress: ShiftProgress, shift: Shift) -> ShiftProgress:
+def with_shift(progress: ShiftProgress, shift: Shift) -> ShiftProgress:
     """Return the progress of a changed shift.
 
     The current fraction is kept, up to the new target fraction, so that
@@ -114,7 +114,7 @@
         return
     if measurement is None or measurement.age_s > FRESH_S:
         return
-    if measurement.room <= 0 or now - progress.grown_at < (
+    if measurement.free_slots <= 0 or now - progress.grown_at < (
         progress.shift.warm_s
     ):
         return
@@ -159,7 +159,7 @@
     return usable[:TARGETS_PER_REQUEST]
 
 
-def note_refused(
+def record_refusal(
     progress: ShiftProgress, target: "Target", now: float
 ) -> None:
     """Skip an instance that is at its portion of the cap for a while.
--- a/chiverun/core/tables.py
+++ b/chiverun/core/tables.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from chiverun.core.ids import Address
+from chiverun.core.ids import BootId
 from chiverun.core.ids import InstanceId
-from chiverun.core.ids import LifeId
 from chiverun.core.ids import SeatIndex
 from chiverun.core.ids import ServerName
 from chiverun.core.ids import ZoneName
@@ -21,16 +21,17 @@
 
     `advert` is None for an instance known only from the seat record.
     `measured_at` is the creation time of the advert. `noted_sequence` is the
-    number of the last ping sent before `life` was learned. `synced_sequence`
-    is that of the last ping whose acknowledgement showed equal seat marks.
-    `checks` counts the pings since the member was declared dead.
+    number of the last ping sent before `boot_id` was learned, and
+    `synced_sequence` that of the last ping whose acknowledgement showed equal
+    seat holders. `checks` counts the pings since the member was declared
+    dead.
     """
 
     instance: InstanceId
     zone: ZoneName
     peer: Address
     incarnation: int
-    life: LifeId | None = None
+    boot_id: BootId | None = None
     state: MemberState = MemberState.ALIVE
     state_since: float = 0.0
     acked_at: float = float("-inf")
@@ -87,7 +88,7 @@
     relayed: dict[int, tuple[Address, int]] = dataclasses.field(
         default_factory=dict
     )
-    ended: dict[LifeId, None] = dataclasses.field(default_factory=dict)
+    ended: dict[BootId, None] = dataclasses.field(default_factory=dict)
     sequence: int = 0
     next_probe_at: float = 0.0
     expired_at: float = float("-inf")
@@ -125,8 +126,8 @@
     """A seat that this instance holds, with opening times of its slots."""
 
     epoch: int
-    short_from: float
-    long_from: float
+    short_opens_at: float
+    long_opens_at: float
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -138,8 +139,8 @@
     """
 
     epoch: int
-    short_from: float
-    long_from: float
+    short_opens_at: float
+    long_opens_at: float
     receiver: InstanceId | None
     is_published: bool = False
 
@@ -149,10 +150,10 @@
     """A transferred seat, kept until the receiver is known to hold it."""
 
     epoch: int
-    short_from: float
-    long_from: float
+    short_opens_at: float
+    long_opens_at: float
     receiver: InstanceId
-    life: LifeId
+    boot_id: BootId
     sent_at: float = float("-inf")
 
 
@@ -160,7 +161,7 @@
     """The holder of a seat in the store's record."""
 
     instance: InstanceId
-    life: LifeId
+    boot_id: BootId = msgspec.field(name="life")
     incarnation: int
     peer: Address
     epoch: int
@@ -183,24 +184,24 @@
 
 
 @dataclasses.dataclass(frozen=True, order=True)
-class Mark:
-    """The latest known holder of a seat; a greater mark is later."""
+class SeatHolder:
+    """The latest known holder of a seat; a greater one is newer."""
 
     epoch: int
-    life: LifeId
+    boot_id: BootId
 
 
 @dataclasses.dataclass(kw_only=True)
 class SeatTable:
     """Seats of this instance.
 
-    `marks` holds the latest known holder of each seat, and `digest` their
-    hash (None until computed). `taken` are the epochs of accepted transfers,
-    so that none is accepted twice. `news` are recently gained seats, with the
-    number of announcements left. While `suspended_at` is set, the seats may
-    not be used; acknowledgements of pings numbered above
-    `suspended_sequence` were sent after the pause. `unwritten` owners and
-    `ungiven` seats are still to be written to the store's record.
+    `known_holders` has the latest known holder of each seat, and `digest`
+    their hash (None until computed). `taken` has the epochs of accepted
+    transfers, so that none is accepted twice. `gained_seats` has recently
+    gained seats with the number of announcements left. While `suspended_at` is set, the seats
+    may not be used; acknowledgements of pings numbered above
+    `suspended_sequence` were sent after the pause. `unwritten` (owners) and
+    `unwritten_releases` are still to be written to the store's record.
     """
 
     held: dict[SeatIndex, Held] = dataclasses.field(default_factory=dict)
@@ -210,11 +211,15 @@
     transfers: dict[SeatIndex, Transfer] = dataclasses.field(
         default_factory=dict
     )
-    marks: dict[SeatIndex, Mark] = dataclasses.field(default_factory=dict)
+    known_holders: dict[SeatIndex, SeatHolder] = dataclasses.field(
+        default_factory=dict
+    )
     digest: int | None = None
     taken: dict[SeatIndex, int] = dataclasses.field(default_factory=dict)
-    news: dict[SeatIndex, int] = dataclasses.field(default_factory=dict)
-    news_at: float = float("-inf")
+    gained_seats: dict[SeatIndex, int] = dataclasses.field(
+        default_factory=dict
+    )
+    gained_announced_at: float = float("-inf")
     uncovered_since: dict[SeatIndex, float] = dataclasses.field(
         default_factory=dict
     )
@@ -228,7 +233,9 @@
     read_pending_since: float | None = None
     read_at: float = float("-inf")
     unwritten: dict[SeatIndex, Owner] = dataclasses.field(default_factory=dict)
-    ungiven: dict[SeatIndex, int] = dataclasses.field(default_factory=dict)
+    unwritten_releases: dict[SeatIndex, int] = dataclasses.field(
+        default_factory=dict
+    )
     write_pending_since: float | None = None
     write_at: float = float("-inf")
     old_classes: list[OldClasses] = dataclasses.field(default_factory=list)
--- a/chiverun/integrations/web.py
+++ b/chiverun/integrations/web.py
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Incoming:
+class IncomingRequest:
     """A request as received; path and query are still percent-encoded."""
 
     method: str
@@ -75,7 +75,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Reply:
+class Response:
     """A response to send."""
 
     status: int
@@ -85,23 +85,23 @@
 
 _LOG = logbook.Logger("web")
 _EXCHANGE_KEY = "HTTP_X_CHIVERUN_EXCHANGE"
-Handler = Callable[[Incoming], Reply]
+Handler = Callable[[IncomingRequest], Response]
 
 
-def json_reply(value: Any, status: int = 200) -> Reply:
+def json_response(value: Any, status: int = 200) -> Response:
     """Return a JSON response."""
-    return Reply(
+    return Response(
         status=status,
         headers=(("Content-Type", "application/json"),),
         body=msgspec.json.encode(value),
     )
 
 
-def error_reply(
+def error_response(
     status: int, outcome: Outcome, code: ResultCode, message: str
-) -> Reply:
+) -> Response:
     """Return an error response that states the outcome and the code."""
-    return Reply(
+    return Response(
         status=status,
         headers=(
             ("Content-Type", "application/json"),
@@ -196,7 +196,7 @@
             outcome, code = Outcome.UNKNOWN, ResultCode.INTERNAL
         else:
             outcome, code = Outcome.NOT_RUN, ResultCode.REQUEST_MALFORMED
-        reply = error_reply(int(text[:3]), outcome, code, msg or text)
+        reply = error_response(int(text[:3]), outcome, code, msg or text)
         self.status = text.encode("latin-1")
         self.outheaders = [
             (name.encode("latin-1"), value.encode("latin-1"))
@@ -306,7 +306,7 @@
             req = _incoming(environ)
         except ChiverunError as exc:
             # The rest of the body may still come on this connection.
-            reply = error_reply(400, Outcome.NOT_RUN, exc.code, exc.message)
+            reply = error_response(400, Outcome.NOT_RUN, exc.code, exc.message)
             closing = (("Connection", "close"),)
         else:
             reply = self._handle(req)
@@ -322,7 +322,7 @@
         start_response(f"{reply.status} {_reason(reply.status)}", headers)
         return [reply.body]
 
-    def _handle(self, req: Incoming) -> Reply:
+    def _handle(self, req: IncomingRequest) -> Response:
         """Run the handler; an error that it lets out proves nothing."""
         try:
             return self._handler(req)
@@ -333,10 +333,12 @@
                 if isinstance(exc, ChiverunError)
                 else ResultCode.INTERNAL
             )
-            return error_reply(500, Outcome.UNKNOWN, code, type(exc).__name__)
+            return error_response(
+                500, Outcome.UNKNOWN, code, type(exc).__name__
+            )
 
 
-def _incoming(environ: dict[str, Any]) -> Incoming:
+def _incoming(environ: dict[str, Any]) -> IncomingRequest:
     try:
         body = environ["wsgi.input"].read()
     except (
@@ -365,7 +367,7 @@
     if environ.get("CONTENT_TYPE"):
         headers["content-type"] = environ["CONTENT_TYPE"]
     path, _, query = environ["REQUEST_URI"].partition("?")
-    return Incoming(
+    return IncomingRequest(
         method=environ["REQUEST_METHOD"],
         path=path,
         query=query,
--- a/chiverun/platform/store.py
+++ b/chiverun/platform/store.py
@@ -12,13 +12,13 @@
 from chiverun.core.exchange import Answered
 from chiverun.core.ids import Address
 from chiverun.core.replica import Unreadable
-from chiverun.core.replica import Versioned
+from chiverun.core.replica import VersionedRecord
 from chiverun.integrations.asyncclient import ClientConnection
 from chiverun.integrations.asyncclient import connect
 from chiverun.integrations.asyncclient import OutgoingRequest
 from chiverun.integrations.catalogstore import CatalogUnavailable
 from chiverun.integrations.catalogstore import Changes
-from chiverun.integrations.catalogstore import HistoryGone
+from chiverun.integrations.catalogstore import HistoryCompacted
 from chiverun.platform import records
 from chiverun.platform import values
 
@@ -51,7 +51,7 @@
         ------
         CatalogUnavailable
         """
-        items: list[Versioned] = []
+        items: list[VersionedRecord] = []
         as_of: Revision | None = None
         path = "/-/kv-range?prefix="
         for _ in range(_PAGES_MAX):
@@ -117,7 +117,7 @@
     async def _get(self, path: str, *, wait_s: float = 0.0) -> dict[str, Any]:
         answer = await self._call("GET", path, "", wait_s=wait_s)
         if answer.status == 410:
-            raise HistoryGone
+            raise HistoryCompacted
         if answer.status != 200:
             raise CatalogUnavailable(f"{path}: status {answer.status}")
         try:
@@ -143,7 +143,7 @@
                 target=path.encode(),
                 headers=headers,
                 body=body.encode(),
-                is_mine=lambda headers: True,
+                matches_request=lambda headers: True,
             ),
             self._timeout_s + wait_s,
         )
@@ -185,14 +185,14 @@
     return readable
 
 
-def _item(row: dict[str, Any]) -> Versioned | None:
+def _item(row: dict[str, Any]) -> VersionedRecord | None:
     """Decode an item or event; None for keys that are not followed."""
     key = row["key"]
     if not key.startswith(records.PREFIXES):
         return None
     revision = Revision(row["revision"])
     if row.get("deleted"):
-        return Versioned(key=key, revision=revision)
+        return VersionedRecord(key=key, revision=revision)
     try:
         data = base64.b64decode(values.field(row, "value", str), validate=True)
     except (ValueError, values.Malformed) as exc:
@@ -205,4 +205,4 @@
         )
     if record is None:
         return None
-    return Versioned(key=key, revision=revision, record=record)
+    return VersionedRecord(key=key, revision=revision, record=record)
--- a/chiverun/runtime/edge.py
+++ b/chiverun/runtime/edge.py
@@ -14,20 +14,20 @@
 from chiverun.core.errors import ChiverunError
 from chiverun.core.errors import ResultCode
 from chiverun.core.ids import Address
-from chiverun.core.ids import LifeId
+from chiverun.core.ids import BootId
 from chiverun.core.ids import ZoneName
 from chiverun.integrations.asyncserver import Handler
 from chiverun.integrations.asyncserver import IncomingRequest
 from chiverun.integrations.asyncserver import listen
+from chiverun.integrations.asyncserver import ListenerState
 from chiverun.integrations.asyncserver import OutgoingResponse
-from chiverun.integrations.asyncserver import ServerState
 from chiverun.integrations.catalogstore import CatalogStore
 from chiverun.integrations.network import AddressMap
 from chiverun.integrations.peers import ZmqPeers
-from chiverun.runtime.dialect import Dialect
 from chiverun.runtime.directory import Directory
 from chiverun.runtime.edgemetrics import EdgeMetrics
 from chiverun.runtime.follower import CatalogFollower
+from chiverun.runtime.headercodec import HeaderCodec
 from chiverun.runtime.selection import Selector
 from chiverun.runtime.sending import Sender
 from chiverun.runtime.servertable import ServerTable
@@ -58,7 +58,7 @@
         *,
         cfg: EdgeSettings,
         store: CatalogStore,
-        dialect: Dialect,
+        header_codec: HeaderCodec,
         read_settings: Callable[[], EdgeSettings],
     ) -> None:
         self.cfg = cfg
@@ -66,7 +66,7 @@
         self._loop = asyncio.get_running_loop()
         self._stopping = asyncio.Event()
         self._stop_asked_at = 0.0
-        self._life = LifeId(uuid.uuid4().hex[:12])
+        self._boot_id = BootId(uuid.uuid4().hex[:12])
         self._peers = ZmqPeers(bind=cfg.peer, addresses=AddressMap(mapping={}))
         self._me = Machine(
             name=cfg.name,
@@ -77,7 +77,7 @@
         )
         self.follower = CatalogFollower(
             me=self._me,
-            life=self._life,
+            boot_id=self._boot_id,
             store=store,
             peers=self._peers,
             seeds=cfg.seeds,
@@ -91,11 +91,11 @@
             zone=cfg.zone,
             bounds=cfg.bounds,
             machines=self._machines,
-            near_zones=self._near_zones,
+            region_zones=self._region_zones,
         )
-        self._sender = Sender(dialect=dialect)
+        self._sender = Sender(header_codec=header_codec)
         self._steering = Steering(
-            dialect=dialect,
+            header_codec=header_codec,
             selector=selector,
             sender=self._sender,
             bounds=cfg.bounds,
@@ -106,7 +106,7 @@
         self.directory = Directory(
             table=self.follower.table, leaving=self.is_stopping
         )
-        self._entry = ServerState(handler=self._handle)
+        self._entry = ListenerState(handler=self._handle)
         self._listeners: list[asyncio.Server] = []
         self._tasks: list[asyncio.Task[None]] = []
 
@@ -141,13 +141,13 @@
         self.follower.start()
         await self._listen(self.cfg.entry, self._entry)
         for address, handler in handlers.items():
-            await self._listen(address, ServerState(handler=handler))
+            await self._listen(address, ListenerState(handler=handler))
         self._spawn("follow", self.follower.follow)
         self._spawn("beat", self.follower.beat)
         _LOG.info(
             "started",
             extra={
-                "life": self._life,
+                "life": self._boot_id,
                 "zone": self.cfg.zone,
                 "region": self.cfg.region,
                 "entry": self.cfg.entry,
@@ -214,7 +214,7 @@
         self._servers.close()
         self._peers.stop()
 
-    async def _listen(self, address: Address, state: ServerState) -> None:
+    async def _listen(self, address: Address, state: ListenerState) -> None:
         try:
             self._listeners.append(await listen(address, state))
         except OSError as exc:
@@ -240,7 +240,7 @@
     def _machines(self) -> set:
         return self.follower.table.known
 
-    def _near_zones(self) -> list[ZoneName]:
+    def _region_zones(self) -> list[ZoneName]:
         """Return the zone of each other live machine of the region."""
         return [m.zone for m in self.follower.table.live(self._loop.time())]
 
--- a/chiverun/runtime/events.py
+++ b/chiverun/runtime/events.py
@@ -37,7 +37,7 @@
     """Write owners, and give up seats (by epoch), in the record."""
 
     owners: dict[SeatIndex, Owner]
-    given_up: dict[SeatIndex, int]
+    released: dict[SeatIndex, int]
 
 
 StoreJob = ClaimSeats | ReadSeats | WriteSeats
@@ -99,12 +99,12 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Leave:
+class BeginStop:
     """The instance begins to stop: it leaves look-up answers."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class HandOver:
+class TransferSeats:
     """The instance has no work left: it gives its seats away."""
 
 
@@ -116,4 +116,4 @@
     | StateRead
     | HeadForked
 )
-Event = StoreReport | ServersLeaving | Leave | HandOver
+Event = StoreReport | ServersLeaving | BeginStop | TransferSeats
--- a/chiverun/runtime/execution.py
+++ b/chiverun/runtime/execution.py
@@ -15,10 +15,10 @@
 from chiverun.core.retries import plan_hedge
 from chiverun.core.ticket import RequestClass
 from chiverun.integrations.backend import HOP_HEADERS
-from chiverun.integrations.backend import Outgoing
+from chiverun.integrations.backend import OutgoingRequest
 from chiverun.integrations.cancellation import Cancellation
 from chiverun.runtime.hedging import HEDGE_THREADS
-from chiverun.runtime.hedging import HedgeThreads
+from chiverun.runtime.hedging import HedgePool
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -30,7 +30,7 @@
     from chiverun.core.work import Work
     from chiverun.integrations.backend import HttpBackends
     from chiverun.integrations.telemetry import Telemetry
-    from chiverun.runtime.hedging import Race
+    from chiverun.runtime.hedging import HedgedRequest
 
 # Headers of the callers' interface that backend servers do not get.
 _OWN_HEADERS = frozenset(
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class HedgeTerms:
+class HedgeLimits:
     """What a request's other hops leave for a second attempt."""
 
     attempts_left: int
@@ -90,7 +90,7 @@
         telemetry: "Telemetry",
         hedge_threads: int = HEDGE_THREADS,
     ) -> None:
-        self._hedges = HedgeThreads(threads=hedge_threads)
+        self._hedges = HedgePool(threads=hedge_threads)
         self._clock = clock
         self._admission = admission
         self._backends = backends
@@ -103,7 +103,7 @@
         excluded: frozenset[ServerName],
         *,
         may_wait: bool,
-        hedge: HedgeTerms | None = None,
+        hedge: HedgeLimits | None = None,
     ) -> Attempt:
         """Run a request once; a refusal is an attempt that was not run.
 
@@ -133,7 +133,7 @@
             return Attempt(end=end, server=grant.server.name)
         race.wait(plan.delay_s)
         second = None
-        if not race.has_end() and hedge.budget.withdraw():
+        if not race.is_any_finished() and hedge.budget.withdraw():
             second = self._hedge(race, grant, content, excluded)
             if second is None:
                 hedge.budget.refund()
@@ -148,7 +148,7 @@
         return self._admission.expected_wait_s(work)
 
     def _plan(
-        self, work: "Work", hedge: HedgeTerms | None
+        self, work: "Work", hedge: HedgeLimits | None
     ) -> HedgePlan | None:
         if hedge is None:
             return None
@@ -156,12 +156,12 @@
             repeatable=work.request_class.repeatable,
             attempts_left=hedge.attempts_left,
             delay_s=self._admission.hedge_delay_s(work),
-            left_s=work.deadline - self._clock.monotonic(),
+            remaining_s=work.deadline - self._clock.monotonic(),
         )
 
     def _hedge(
         self,
-        race: "Race",
+        race: "HedgedRequest",
         first: "Grant",
         content: Content,
         excluded: frozenset[ServerName],
@@ -216,8 +216,8 @@
         self._admission.release(
             grant,
             end,
-            cancelled=cancellation.is_fired and _is_cut_off(end),
-            ended=cancellation.is_ended,
+            cancelled=cancellation.is_cancelled and _is_cut_off(end),
+            ended=cancellation.is_closed_by_server,
         )
 
     def _outgoing(
@@ -225,7 +225,7 @@
         grant: "Grant",
         content: Content,
         cancellation: Cancellation | None,
-    ) -> Outgoing:
+    ) -> OutgoingRequest:
         work = grant.work
         headers = backend_headers(content.headers)
         headers["X-Request-Id"] = content.request_id
@@ -245,14 +245,14 @@
     headers: dict[str, str],
     deadline: float,
     request_class: RequestClass,
-) -> Outgoing:
+) -> OutgoingRequest:
     """Return the request to a backend server.
 
     A kept connection may be closed by the server while a request is written
     to it, and then nobody knows whether it ran; a request that cannot be
     repeated goes over a fresh one.
     """
-    return Outgoing(
+    return OutgoingRequest(
         method=content.method,
         path=content.path,
         headers=headers,
@@ -277,8 +277,8 @@
 
 def epoch_ms(clock: "Clock", deadline: float) -> str:
     """Return a monotonic deadline as milliseconds of the wall clock."""
-    left_s = deadline - clock.monotonic()
-    return str(int((clock.wall() + left_s) * 1000))
+    remaining_s = deadline - clock.monotonic()
+    return str(int((clock.wall() + remaining_s) * 1000))
 
 
 def deadline_from_epoch(clock: "Clock", text: str) -> float:
--- a/chiverun/runtime/follower.py
+++ b/chiverun/runtime/follower.py
@@ -17,22 +17,22 @@
 from chiverun.core.catalog import Machine
 from chiverun.core.catalog import Revision
 from chiverun.core.catalog import Server
-from chiverun.core.edgemessages import Beat
+from chiverun.core.edgemessages import Heartbeat
 from chiverun.core.edgemessages import Pull
 from chiverun.core.edgemessages import Snapshot
 from chiverun.core.edgemessages import Update
 from chiverun.core.ids import Address
-from chiverun.core.ids import LifeId
+from chiverun.core.ids import BootId
 from chiverun.core.peertable import BEAT_PERIOD_S
 from chiverun.core.peertable import PeerTable
 from chiverun.core.replica import Evacuation
 from chiverun.core.replica import LAPSE_GRACE_S
 from chiverun.core.replica import Replica
-from chiverun.core.replica import Versioned
+from chiverun.core.replica import VersionedRecord
 from chiverun.integrations.catalogstore import CatalogStore
 from chiverun.integrations.catalogstore import CatalogUnavailable
 from chiverun.integrations.catalogstore import Changes
-from chiverun.integrations.catalogstore import HistoryGone
+from chiverun.integrations.catalogstore import HistoryCompacted
 from chiverun.integrations.peers import ZmqPeers
 
 _LOG = logbook.Logger("catalog")
@@ -57,7 +57,7 @@
         self,
         *,
         me: Machine,
-        life: LifeId,
+        boot_id: BootId,
         store: CatalogStore,
         peers: ZmqPeers,
         seeds: tuple[Address, ...],
@@ -67,12 +67,12 @@
         self.table = PeerTable(me=me)
         self.leaving = False
         self._me = me
-        self._life = life
+        self._boot_id = boot_id
         self._store = store
         self._peers = peers
         self._seeds = tuple(seed for seed in seeds if seed != me.peer)
         self._on_change = on_change
-        self._rng = random.Random(life)
+        self._rng = random.Random(boot_id)
         self._loop = asyncio.get_running_loop()
         self._reads_store = False
         self._needs_listing = True
@@ -111,7 +111,7 @@
                 continue
             try:
                 await self._read()
-            except (CatalogUnavailable, HistoryGone) as exc:
+            except (CatalogUnavailable, HistoryCompacted) as exc:
                 self._note_failure(exc)
                 self._pull()
                 await asyncio.sleep(RETRY_PAUSE_S)
@@ -131,9 +131,9 @@
     def send_beats(self) -> None:
         """Send one sign of life to the machines that need it."""
         message = edgemessages.encode(
-            Beat(
+            Heartbeat(
                 machine=self._me,
-                life=self._life,
+                boot_id=self._boot_id,
                 leaving=self.leaving,
                 reads_store=self._reads_store,
             )
@@ -165,7 +165,7 @@
                 changes = await self._store.changes_since(
                     self.replica.as_of, WATCH_WAIT_S
                 )
-            except HistoryGone:
+            except HistoryCompacted:
                 _LOG.warning(
                     "store forgot its history",
                     extra={"as_of": self.replica.as_of},
@@ -204,7 +204,7 @@
         self._is_loss_logged = False
 
     def _note_failure(self, exc: Exception) -> None:
-        if isinstance(exc, HistoryGone):
+        if isinstance(exc, HistoryCompacted):
             return
         self._reads_store = False
         if not self._is_loss_logged:
@@ -212,7 +212,7 @@
             _LOG.warning("store lost", extra={"reason": str(exc)})
 
     def _take_listing(
-        self, items: list[Versioned], as_of: Revision, source: str
+        self, items: list[VersionedRecord], as_of: Revision, source: str
     ) -> None:
         since = self.replica.as_of
         changed = self.replica.replace(
@@ -235,7 +235,7 @@
         self._note_changes(changed, "store")
         self._relay(since, changed)
 
-    def _relay(self, since: Revision, changed: list[Versioned]) -> None:
+    def _relay(self, since: Revision, changed: list[VersionedRecord]) -> None:
         """Tell the machines of the region, also that nothing changed."""
         now = self._loop.time()
         # Own reads replace the relay for this machine as well.
@@ -251,7 +251,7 @@
         message = edgemessages.encode(
             Update(
                 sender=self._me.name,
-                life=self._life,
+                boot_id=self._boot_id,
                 since=since,
                 as_of=self.replica.as_of,
                 items=changed,
@@ -284,7 +284,7 @@
             _LOG.warning("message unreadable", extra={"reason": str(exc)})
             return
         match message:
-            case Beat():
+            case Heartbeat():
                 self._take_beat(message)
             case Update():
                 self._take_update(message)
@@ -295,7 +295,7 @@
                     self._take_listing(message.items, message.as_of, "peer")
                     self._needs_listing = False
 
-    def _take_beat(self, beat: Beat) -> None:
+    def _take_beat(self, beat: Heartbeat) -> None:
         row = self.table.rows.get(beat.machine.name)
         was_leaving = row is not None and row.beat.leaving
         is_new = self.table.note_beat(beat, self._loop.time())
@@ -305,7 +305,7 @@
                 "machine heard",
                 extra={
                     "machine": beat.machine.name,
-                    "life": beat.life,
+                    "life": beat.boot_id,
                     "leaving": beat.leaving,
                 },
             )
@@ -344,7 +344,7 @@
         if pull.as_of:
             answer = Update(
                 sender=self._me.name,
-                life=self._life,
+                boot_id=self._boot_id,
                 since=pull.as_of,
                 as_of=self.replica.as_of,
                 items=self.replica.changed_after(pull.as_of),
@@ -356,7 +356,9 @@
             )
         self._peers.send(pull.reply_to, edgemessages.encode(answer))
 
-    def _note_changes(self, changed: list[Versioned], source: str) -> None:
+    def _note_changes(
+        self, changed: list[VersionedRecord], source: str
+    ) -> None:
         if not changed:
             return
         self.table.note_machines(self.replica.machines())
@@ -373,7 +375,7 @@
         self._on_change()
 
 
-def _summary(item: Versioned) -> dict:
+def _summary(item: VersionedRecord) -> dict:
     match item.record:
         case None:
             return {"now": "deleted"}
--- a/chiverun/runtime/forward.py
+++ b/chiverun/runtime/forward.py
@@ -24,9 +24,9 @@
 from chiverun.core.ticket import Service
 from chiverun.core.ticket import Zone
 from chiverun.core.work import Work
-from chiverun.integrations.web import error_reply
-from chiverun.integrations.web import Incoming
-from chiverun.integrations.web import Reply
+from chiverun.integrations.web import error_response
+from chiverun.integrations.web import IncomingRequest
+from chiverun.integrations.web import Response
 from chiverun.runtime.execution import Content
 from chiverun.runtime.execution import deadline_from_epoch
 
@@ -45,7 +45,7 @@
 _PREFIX = "/f/"
 
 
-class Forward:
+class ForwardHandler:
     """Handler of the forward address."""
 
     def __init__(
@@ -74,11 +74,11 @@
         """Refuse peers' requests from now on; they try other instances."""
         self._is_refusing = True
 
-    def handle(self, req: Incoming) -> Reply:
+    def handle(self, req: IncomingRequest) -> Response:
         """Run a peer's request once."""
         with self._lock:
             if self._is_refusing:
-                return error_reply(
+                return error_response(
                     503,
                     Outcome.NOT_RUN,
                     ResultCode.LEAVING,
@@ -92,11 +92,11 @@
             with self._lock:
                 self.in_flight -= 1
 
-    def _handle(self, req: Incoming) -> Reply:
+    def _handle(self, req: IncomingRequest) -> Response:
         try:
             work = self._work(req)
         except (ChiverunError, ValueError) as exc:
-            return error_reply(
+            return error_response(
                 400, Outcome.NOT_RUN, ResultCode.REQUEST_MALFORMED, str(exc)
             )
         content = Content(
@@ -130,7 +130,7 @@
     def _region(self) -> RegionName:
         return self._plane.snapshot.state.of(Zone)[self._zone].region
 
-    def _work(self, req: Incoming) -> Work:
+    def _work(self, req: IncomingRequest) -> Work:
         state = self._plane.snapshot.state
         if self._zone not in state.of(Zone):
             raise ValueError(f"zone {self._zone!r} is in no ticket")
@@ -166,9 +166,9 @@
     links: "Links",
     clock: "Clock",
     work: Work,
-    run: Callable[[], Reply],
+    run: Callable[[], Response],
     refusal: Outcome = Outcome.NOT_RUN,
-) -> Reply:
+) -> Response:
     """Run a request and delay its response to the rate of the link.
 
     Response bytes are reserved before the request runs. A response that is
@@ -183,7 +183,7 @@
         work.deadline - clock.monotonic(),
     )
     if reservation is None:
-        return error_reply(
+        return error_response(
             503,
             refusal,
             ResultCode.LINK_CAP,
@@ -199,7 +199,7 @@
         links.note_response(name, actual)
     if links.pace(reservation, actual, work.deadline):
         return reply
-    return error_reply(
+    return error_response(
         502,
         Outcome.UNKNOWN,
         ResultCode.BACKEND_TIMEOUT,
@@ -207,11 +207,11 @@
     )
 
 
-def reply_to_peer(end: ExchangeEnd) -> Reply:
+def reply_to_peer(end: ExchangeEnd) -> Response:
     """Return the reply that tells a peer how an exchange ended."""
     classified = classify(end)
     if isinstance(end, Answered):
-        return Reply(
+        return Response(
             status=end.status,
             headers=(
                 *end.headers,
@@ -221,6 +221,6 @@
             body=end.body,
         )
     status = 503 if classified.outcome is Outcome.NOT_RUN else 502
-    return error_reply(
+    return error_response(
         status, classified.outcome, classified.code, type(end).__name__
     )
--- a/chiverun/runtime/gossip.py
+++ b/chiverun/runtime/gossip.py
@@ -13,9 +13,9 @@
 from chiverun.core.messages import MemberState
 from chiverun.core.messages import Ping
 from chiverun.core.messages import SeatClaim
-from chiverun.core.messages import SeatMark
-from chiverun.core.messages import SeatMarks
-from chiverun.core.tables import Mark
+from chiverun.core.messages import SeatHolderRecord
+from chiverun.core.messages import SeatHolderRecords
+from chiverun.core.tables import SeatHolder
 from chiverun.runtime import ticketspread
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
     me = ctx.identity
     return Advert(
         instance=me.instance,
-        life=me.life,
+        boot_id=me.boot_id,
         incarnation=ctx.incarnation,
         sequence=ctx.sequence,
         zone=me.zone,
@@ -41,7 +41,7 @@
             SeatClaim(seat=seat, epoch=held.epoch)
             for seat, held in ctx.seats.held.items()
         ),
-        room=ctx.admission.room(),
+        free_slots=ctx.admission.free_slots(),
         number=ctx.state.number,
     )
 
@@ -52,8 +52,8 @@
         sender=make_advert(ctx),
         number=ctx.state.number,
         digest=ctx.state.digest,
-        marks_digest=seat_rules.marks_digest(ctx.seats),
-        updates=membership.take_updates(ctx.members, about),
+        holders_digest=seat_rules.holders_digest(ctx.seats),
+        updates=membership.next_updates(ctx.members, about),
         adverts=dissemination.select_adverts(ctx.members, now, ctx.rng),
         draining=dissemination.select_drain_signs(ctx.drains, now),
     )
@@ -106,7 +106,7 @@
     for advert in (content.sender, *content.adverts):
         if advert.instance != ctx.identity.instance:
             membership.merge_advert(ctx.members, advert, zone, now)
-        elif advert.life != ctx.identity.life:
+        elif advert.boot_id != ctx.identity.boot_id:
             _outlive(ctx, advert)
         _note_marks(ctx, advert)
     for update in content.updates:
@@ -123,43 +123,49 @@
 
 def has_same_marks(ctx: "ControlContext", content: Gossip) -> bool:
     """Tell whether the sender knew the same holders of the zone's seats."""
-    return content.marks_digest == seat_rules.marks_digest(ctx.seats)
+    return content.holders_digest == seat_rules.holders_digest(ctx.seats)
 
 
 def _note_marks(ctx: "ControlContext", advert: Advert) -> None:
     if advert.zone == ctx.identity.zone:
         for claim in advert.seats:
-            mark = Mark(claim.epoch, advert.life)
-            seat_rules.note_mark(ctx.seats, claim.seat, mark)
+            mark = SeatHolder(claim.epoch, advert.boot_id)
+            seat_rules.record_holder(ctx.seats, claim.seat, mark)
 
 
-def _all_marks(ctx: "ControlContext") -> tuple[SeatMark, ...]:
+def _all_marks(ctx: "ControlContext") -> tuple[SeatHolderRecord, ...]:
     return tuple(
-        SeatMark(seat=seat, epoch=mark.epoch, life=mark.life)
-        for seat, mark in ctx.seats.marks.items()
+        SeatHolderRecord(seat=seat, epoch=mark.epoch, boot_id=mark.boot_id)
+        for seat, mark in ctx.seats.known_holders.items()
     )
 
 
 def send_marks(
-    ctx: "ControlContext", address: Address, marks: tuple[SeatMark, ...]
+    ctx: "ControlContext",
+    address: Address,
+    known_holders: tuple[SeatHolderRecord, ...],
 ) -> None:
     """Tell an instance of the zone which holders are known."""
-    if marks:
+    if known_holders:
         ctx.send(
             address,
-            SeatMarks(
-                zone=ctx.identity.zone, sender=ctx.identity.peer, marks=marks
+            SeatHolderRecords(
+                zone=ctx.identity.zone,
+                sender=ctx.identity.peer,
+                known_holders=known_holders,
             ),
         )
 
 
-def on_marks(ctx: "ControlContext", message: SeatMarks) -> None:
+def on_marks(ctx: "ControlContext", message: SeatHolderRecords) -> None:
     """Take over later holders; answer with those the sender lacks."""
     if message.zone != ctx.identity.zone:
         return
-    for m in message.marks:
-        seat_rules.note_mark(ctx.seats, m.seat, Mark(m.epoch, m.life))
-    later = seat_rules.later_marks(ctx.seats, message.marks)
+    for m in message.known_holders:
+        seat_rules.record_holder(
+            ctx.seats, m.seat, SeatHolder(m.epoch, m.boot_id)
+        )
+    later = seat_rules.newer_holders(ctx.seats, message.known_holders)
     send_marks(ctx, message.sender, later)
 
 
--- a/chiverun/runtime/hedging.py
+++ b/chiverun/runtime/hedging.py
@@ -16,7 +16,7 @@
 Send = Callable[[Cancellation], ExchangeEnd]
 
 
-class HedgeThreads:
+class HedgePool:
     """A bounded number of threads for attempts; thread-safe."""
 
     def __init__(self, *, threads: int = HEDGE_THREADS) -> None:
@@ -25,9 +25,9 @@
             max_workers=threads, thread_name_prefix="attempt"
         )
 
-    def start(self, send: Send) -> "Race | None":
+    def start(self, send: Send) -> "HedgedRequest | None":
         """Start a race with its first attempt; None if all threads work."""
-        race = Race(self)
+        race = HedgedRequest(self)
         return race if race.add(send) else None
 
     def submit(self, call: Callable[[], None]) -> bool:
@@ -52,10 +52,10 @@
             self._free.release()
 
 
-class Race:
+class HedgedRequest:
     """Attempts of one request; thread-safe."""
 
-    def __init__(self, threads: HedgeThreads) -> None:
+    def __init__(self, threads: HedgePool) -> None:
         self._threads = threads
         self._changed = threading.Condition()
         self._cancellations: list[Cancellation] = []
@@ -87,7 +87,7 @@
         with self._changed:
             self._changed.wait_for(lambda: self._ends, seconds)
 
-    def has_end(self) -> bool:
+    def is_any_finished(self) -> bool:
         """Tell whether an attempt has ended."""
         with self._changed:
             return bool(self._ends)
@@ -109,7 +109,7 @@
             result = self._answer() or max(self._ends, key=_may_have_run)
         if not is_over:
             for cancellation in self._cancellations:
-                cancellation.fire()
+                cancellation.cancel()
         return result
 
     def _answer(self) -> ExchangeEnd | None:
--- a/chiverun/runtime/storeworker.py
+++ b/chiverun/runtime/storeworker.py
@@ -117,7 +117,7 @@
         for _ in range(_SWAP_ATTEMPTS):
             record, index = self.read()
             wanted = with_owners(record, job.owners)
-            for seat, epoch in job.given_up.items():
+            for seat, epoch in job.released.items():
                 wanted = without_owner(wanted, seat, epoch)
             if wanted == record or self._swap(wanted, index):
                 return
@@ -325,7 +325,9 @@
             return
         if not self._plane.is_watcher():
             return
-        if self._log.repair(self._plane.state, self._plane.recent.entries()):
+        if self._log.restore_head(
+            self._plane.state, self._plane.recent.entries()
+        ):
             _LOG.warning(
                 "store repaired",
                 extra={"from": number, "to": self._plane.state.number},
@@ -337,5 +339,5 @@
         if now < self._mend_at or not self._plane.is_watcher():
             return
         self._mend_at = now + MEND_PERIOD_S * self._rng.uniform(0.8, 1.2)
-        if self._log.mend(state):
+        if self._log.replace_unloadable_base(state):
             _LOG.warning("base in the store replaced")
--- a/standins/load_model.py
+++ b/standins/load_model.py
@@ -282,7 +282,7 @@
 
     def _tick(self, until: float) -> None:
         now = self._clock.monotonic()
-        rooms = {n.info.name: n.admission.room() for n in self._nodes}
+        rooms = {n.info.name: n.admission.free_slots() for n in self._nodes}
         zones = {}
         for zone, region in self._spec.zones():
             known = tuple(
@@ -291,7 +291,7 @@
                     lookup=n.info.name,
                     entry=n.info.name,
                     forward=n.info.name,
-                    room=rooms[n.info.name],
+                    free_slots=rooms[n.info.name],
                     measured_at=now,
                 )
                 for n in self._nodes
@@ -301,7 +301,7 @@
                 zone=zone,
                 region=region,
                 instances=known,
-                room={},
+                free_slots={},
                 measured_at=now,
             )
         for node in self._nodes:
@@ -329,7 +329,7 @@
             zone=info.zone, clock=self._clock, rng=self._choice_rng
         )
         self._seats = tuple(
-            HeldSeat(index=i, short_from=0.0, long_from=0.0)
+            HeldSeat(index=i, short_opens_at=0.0, long_opens_at=0.0)
             for i in range(SEATS)
             if i % count == number
         )
@@ -524,7 +524,7 @@
             repeatable=request.request_class.repeatable,
             attempts_left=request.request_class.attempts,
             delay_s=self.admission.hedge_delay_s(grant.work),
-            left_s=request.deadline - self._clock.monotonic(),
+            remaining_s=request.deadline - self._clock.monotonic(),
         )
         if plan is None:
             return
--- a/tests/core/test_seats.py
+++ b/tests/core/test_seats.py
@@ -5,38 +5,38 @@
 from nose2.tools import params
 
 from chiverun.core.messages import MemberState
-from chiverun.core.messages import SeatMark
+from chiverun.core.messages import SeatHolderRecord
 from chiverun.core.seats import Claim
 from chiverun.core.seats import CLAIM_EPOCHS
 from chiverun.core.seats import ClaimPlan
 from chiverun.core.seats import ended_lives
 from chiverun.core.seats import held_after_claim
-from chiverun.core.seats import later_marks
+from chiverun.core.seats import holders_digest
+from chiverun.core.seats import keep_old_deadlines
 from chiverun.core.seats import lost_seats
-from chiverun.core.seats import marks_digest
-from chiverun.core.seats import note_mark
-from chiverun.core.seats import note_old_classes
+from chiverun.core.seats import newer_holders
 from chiverun.core.seats import OLD_CLASSES_MAX
+from chiverun.core.seats import record_holder
 from chiverun.core.seats import SeatRecord
 from chiverun.core.seats import SEATS_MAX
 from chiverun.core.seats import select_claims
 from chiverun.core.seats import with_owners
 from chiverun.core.seats import without_owner
 from chiverun.core.tables import Held
-from chiverun.core.tables import Mark
 from chiverun.core.tables import Member
 from chiverun.core.tables import MemberTable
 from chiverun.core.tables import Owner
+from chiverun.core.tables import SeatHolder
 from chiverun.core.tables import SeatTable
 from standins.planes import make_state
 from standins.planes import SHORT
 from standins.planes import ZONE
 
-_ME = Owner(instance="a", life="me", incarnation=1, peer="p1", epoch=0)
+_ME = Owner(instance="a", boot_id="me", incarnation=1, peer="p1", epoch=0)
 
 
 def _owner(**fields) -> Owner:
-    values = {"instance": "b", "life": "b1", "incarnation": 1, "peer": "p2"}
+    values = {"instance": "b", "boot_id": "b1", "incarnation": 1, "peer": "p2"}
     return Owner(**{**values, "epoch": 3, **fields})
 
 
@@ -47,7 +47,7 @@
         "rank": 0,
         "live": 1,
         "ended": frozenset(),
-        "marks": {},
+        "known_holders": {},
         "overdue": frozenset(),
     }
     return ClaimPlan(**{**values, **fields})
@@ -68,27 +68,33 @@
         ("namesake elsewhere", _owner(instance="a"), {}, []),
         (
             "own seat above the share",
-            _owner(life="me"),
+            _owner(boot_id="me"),
             {"most": 0},
             _claim(3),
         ),
         ("above the share", None, {"most": 0}, []),
         (
             "record behind a live holder",
-            _owner(life="me"),
-            {"marks": {0: Mark(8, "c1")}},
+            _owner(boot_id="me"),
+            {"known_holders": {0: SeatHolder(8, "c1")}},
             [],
         ),
         (
             "record behind a silent holder",
-            _owner(life="me"),
-            {"marks": {0: Mark(8, "c1")}, "ended": frozenset({"c1"})},
+            _owner(boot_id="me"),
+            {
+                "known_holders": {0: SeatHolder(8, "c1")},
+                "ended": frozenset({"c1"}),
+            },
             _claim(8),
         ),
         (
             "holder never took the seat",
-            _owner(life="me"),
-            {"marks": {0: Mark(8, "c1")}, "overdue": frozenset({0})},
+            _owner(boot_id="me"),
+            {
+                "known_holders": {0: SeatHolder(8, "c1")},
+                "overdue": frozenset({0}),
+            },
             _claim(8),
         ),
     )
@@ -107,7 +113,7 @@
 class RecordTest(unittest.TestCase):
     def test_jobs_out_of_order(self) -> None:
         """Guards against a retried write that undoes a later one."""
-        old, new = _owner(epoch=4), _owner(life="c1", epoch=5)
+        old, new = _owner(epoch=4), _owner(boot_id="c1", epoch=5)
         for order in ((old, new), (new, old)):
             record = SeatRecord()
             for owner in order:
@@ -122,26 +128,26 @@
     def test_the_newer_holder_wins_in_any_order(self) -> None:
         """Guards against two holders of equal epochs that both keep a seat."""
         one, two = SeatTable(), SeatTable()
-        marks = [(4, "x"), (5, "x"), (5, "y")]
-        for epoch, life in marks:
-            note_mark(one, 0, Mark(epoch, life))
-        for epoch, life in reversed(marks):
-            note_mark(two, 0, Mark(epoch, life))
-        self.assertEqual(marks_digest(one), marks_digest(two))
-        one.held[0] = Held(epoch=5, short_from=0.0, long_from=0.0)
+        known_holders = [(4, "x"), (5, "x"), (5, "y")]
+        for epoch, boot_id in known_holders:
+            record_holder(one, 0, SeatHolder(epoch, boot_id))
+        for epoch, boot_id in reversed(known_holders):
+            record_holder(two, 0, SeatHolder(epoch, boot_id))
+        self.assertEqual(holders_digest(one), holders_digest(two))
+        one.held[0] = Held(epoch=5, short_opens_at=0.0, long_opens_at=0.0)
         self.assertEqual({0}, lost_seats(one, "x"))
         self.assertEqual(set(), lost_seats(one, "y"))
-        stale = SeatMark(seat=0, epoch=5, life="x")
-        fresh = SeatMark(seat=0, epoch=5, life="y")
-        self.assertEqual((fresh,), later_marks(one, (stale,)))
-        self.assertEqual((), later_marks(one, (fresh,)))
+        stale = SeatHolderRecord(seat=0, epoch=5, boot_id="x")
+        fresh = SeatHolderRecord(seat=0, epoch=5, boot_id="y")
+        self.assertEqual((fresh,), newer_holders(one, (stale,)))
+        self.assertEqual((), newer_holders(one, (fresh,)))
 
     @params(-1, SEATS_MAX)
     def test_holders_are_bounded(self, seat) -> None:
         """Guards against memory that grows with invalid messages."""
         table = SeatTable()
-        self.assertFalse(note_mark(table, seat, Mark(1, "x")))
-        self.assertEqual({}, table.marks)
+        self.assertFalse(record_holder(table, seat, SeatHolder(1, "x")))
+        self.assertEqual({}, table.known_holders)
 
 
 class EndedLivesTest(unittest.TestCase):
@@ -173,7 +179,7 @@
                 zone=ZONE,
                 peer="p2",
                 incarnation=1,
-                life="b1",
+                boot_id="b1",
                 **{**values, **fields},
             )
         )
@@ -195,13 +201,13 @@
         """
         table, old = SeatTable(), make_state()
         new = make_state(**fields)
-        note_old_classes(table, old, new, ZONE, 100.0)
+        keep_old_deadlines(table, old, new, ZONE, 100.0)
         claim = Claim(seat=0, epoch=5, was_used=True)
         held = held_after_claim(table, new, claim, 100.5)
-        self.assertGreaterEqual(held.short_from, 100.5 + least, name)
-        self.assertGreaterEqual(held.long_from, 106.0, name)
+        self.assertGreaterEqual(held.short_opens_at, 100.5 + least, name)
+        self.assertGreaterEqual(held.long_opens_at, 106.0, name)
         late = held_after_claim(table, new, claim, 200.0)
-        self.assertLess(late.short_from, 204.0, name)
+        self.assertLess(late.short_opens_at, 204.0, name)
 
     def test_work_under_another_number_of_seats(self) -> None:
         """Guards against slots that open too early for another seat.
@@ -209,21 +215,21 @@
         Requests of the earlier seat may still run on them.
         """
         table, old, new = SeatTable(), make_state(), make_state(seats=8)
-        table.held[0] = Held(epoch=1, short_from=0.0, long_from=0.0)
-        note_old_classes(table, old, new, ZONE, 100.0)
+        table.held[0] = Held(epoch=1, short_opens_at=0.0, long_opens_at=0.0)
+        keep_old_deadlines(table, old, new, ZONE, 100.0)
         claim = Claim(seat=7, epoch=1, was_used=False)
         for held in (
             table.held[0],
             held_after_claim(table, new, claim, 101.0),
         ):
-            self.assertGreaterEqual(held.short_from, 106.0)
+            self.assertGreaterEqual(held.short_opens_at, 106.0)
         late = held_after_claim(table, new, claim, 200.0)
-        self.assertEqual(200.0, late.short_from)
+        self.assertEqual(200.0, late.short_opens_at)
 
     def test_kept_deadlines_are_bounded(self) -> None:
         table = SeatTable()
         for number in range(2 * OLD_CLASSES_MAX):
             old = make_state(long_slots=number % 2)
             new = make_state(long_slots=1 - number % 2)
-            note_old_classes(table, old, new, ZONE, 100.0)
+            keep_old_deadlines(table, old, new, ZONE, 100.0)
         self.assertEqual(OLD_CLASSES_MAX, len(table.old_classes))
--- a/tests/core/test_ticketlog.py
+++ b/tests/core/test_ticketlog.py
@@ -21,7 +21,7 @@
 from chiverun.core.state import encode_state
 from chiverun.core.ticket import Region
 from chiverun.core.ticket import Ticket
-from chiverun.core.ticketconflict import InForce
+from chiverun.core.ticketconflict import ReportedState
 from chiverun.core.ticketentry import apply_entry
 from chiverun.core.ticketentry import decode_entry
 from chiverun.core.ticketentry import encode_entry
@@ -282,11 +282,13 @@
         entries = _logged(platform)
         platform.admin({"restore": True})
         log, _ = log_of(platform)
-        report = InForce(instance="i", number=last, digest=state.digest)
+        report = ReportedState(instance="i", number=last, digest=state.digest)
         with self.assertRaises(ChiverunError) as caught:
             log.submit(ticket(saved + 1, "b"), "b", [report])
         self.assertEqual(ResultCode.STORE_BEHIND, caught.exception.code)
-        self.assertTrue(log.repair(state, entries[-kept:] if kept else []))
+        self.assertTrue(
+            log.restore_head(state, entries[-kept:] if kept else [])
+        )
         self.assertEqual(state.digest, log.load().digest)
         log.submit(ticket(last + 1), "next", [report])
         self.assertLessEqual(len(platform.data), KEYS_MAX)
@@ -303,7 +305,7 @@
             log, store = log_of(platform, write_faults={position: fault})
             for _ in range(3):
                 try:
-                    log.repair(state, entries[-5:])
+                    log.restore_head(state, entries[-5:])
                 except (StoreUnavailable, StoreAnswerLost):
                     continue
                 finally:
@@ -323,7 +325,7 @@
         other = encode_entry(fill(Platform(), 7, author="b")[1][-1])
         platform.put("chiverun/ticket/7", other, None)
         log, _ = log_of(platform)
-        self.assertTrue(log.repair(state, entries))
+        self.assertTrue(log.restore_head(state, entries))
         self.assertEqual(state.digest, log.load().digest)
 
     def test_submission_in_between_is_a_fork(self):
@@ -336,10 +338,10 @@
         fill(platform, 6, first=6, author="b")
         log, _ = log_of(platform)
         with self.assertRaises(ChiverunError) as caught:
-            log.repair(state, entries)
+            log.restore_head(state, entries)
         self.assertEqual(ResultCode.TICKET_FORK, caught.exception.code)
         self.assertEqual("b", log.head().entry.ticket.author)
-        old = InForce(instance="i", number=6, digest=entries[0].digest)
+        old = ReportedState(instance="i", number=6, digest=entries[0].digest)
         fill(platform, 7, first=7, author="b")
         with self.assertRaises(ChiverunError) as caught:
             log.submit(ticket(8, "b"), "x", [old])
@@ -385,7 +387,7 @@
             code, _ = outcome(log, ticket(71), "x")
             self.assertIsInstance(code, ResultCode)
             if key != HEAD_KEY:
-                log.mend(state)
+                log.replace_unloadable_base(state)
                 if code is not ResultCode.OK:
                     self.assertEqual(state.digest, log.load().digest, key)
 
--- a/tests/runtime/test_entry.py
+++ b/tests/runtime/test_entry.py
@@ -30,12 +30,12 @@
 from chiverun.core.ticket import RequestClass
 from chiverun.core.ticket import Service
 from chiverun.core.ticket import Zone
-from chiverun.integrations.web import Incoming
-from chiverun.runtime.entry import Entry
+from chiverun.integrations.web import IncomingRequest
+from chiverun.runtime.entry import EntryHandler
 from chiverun.runtime.entry import ISSUER_HEADER
 from chiverun.runtime.execution import Attempt
 from chiverun.runtime.execution import Executor
-from chiverun.runtime.forward import Forward
+from chiverun.runtime.forward import ForwardHandler
 
 _OK = Answered(status=200, headers=(), body=b"ok")
 _READ = RequestClass(
@@ -103,7 +103,7 @@
         lookup="l",
         entry=f"entry-of-{name}",
         forward="f",
-        room={"desk": 1},
+        free_slots={"desk": 1},
         measured_at=1000.0,
     )
 
@@ -118,7 +118,7 @@
             zone="a",
             region="r",
             instances=tuple(_addresses(n) for n in names),
-            room={},
+            free_slots={},
             measured_at=1000.0,
         )
         return Snapshot(
@@ -131,10 +131,10 @@
             leaving_servers=frozenset(),
         )
 
-    def _entry(self, executor, *, name="a-1", peers=(), life="life-1"):
+    def _entry(self, executor, *, name="a-1", peers=(), boot_id="life-1"):
         self.plane = types.SimpleNamespace(snapshot=self._snapshot(*peers))
-        self.keys = KeyTable(instance=name, life=life, clock=self.clock)
-        return Entry(
+        self.keys = KeyTable(instance=name, boot_id=boot_id, clock=self.clock)
+        return EntryHandler(
             identity=types.SimpleNamespace(instance=name, zone="a"),
             clock=self.clock,
             plane=self.plane,
@@ -153,7 +153,7 @@
         if key:
             headers["idempotency-key"] = key
         reply = entry.handle(
-            Incoming(
+            IncomingRequest(
                 method=method,
                 path="/s/desk/x",
                 query="",
@@ -276,7 +276,7 @@
         self.peer_calls = _Script(refused, refused, _OK)
         entry = self._entry(_Script(refused))
         self.plane.snapshot = self._snapshot("a-2", leaving=leaving)
-        self.plane.snapshot.zones["a"].instances[0].room.clear()
+        self.plane.snapshot.zones["a"].instances[0].free_slots.clear()
         (key,) = self.keys.issue(1)
         self.assertEqual("answered", self._send(entry, key=key)[0])
         self.assertEqual(3, len(self.peer_calls.calls))
@@ -333,7 +333,7 @@
                 works.append(work.deadline)
                 return Attempt(end=_OK)
 
-        forward = Forward(
+        forward = ForwardHandler(
             zone="a",
             clock=ManualClock(),
             plane=types.SimpleNamespace(
@@ -345,7 +345,7 @@
             threads=40,
         )
         reply = forward.handle(
-            Incoming(
+            IncomingRequest(
                 method="GET",
                 path="/f/desk/x",
                 query="",
