--- a/chiverun/core/admission.py
+++ b/chiverun/core/admission.py
@@ -36,8 +36,8 @@
 from chiverun.core.waiting import QueueKey
 from chiverun.core.waiting import Waiter
 from chiverun.core.waiting import WaitQueues
+from chiverun.core.work import deadline_refusal
 from chiverun.core.work import Grant
-from chiverun.core.work import late_refusal
 from chiverun.core.work import refusal
 from chiverun.core.work import Work
 
@@ -105,11 +105,11 @@
             layout = (snapshot.state.digest, snapshot.state.number)
             layout = (*layout, snapshot.seats)
             self._snapshot = snapshot
-            self._limits.note_snapshot()
+            self._limits.clear_cache()
             if layout != self._layout:
                 self._layout = layout
                 self._rebuild(snapshot, now)
-            self._health.note_returned(snapshot, now)
+            self._health.start_slow_start(snapshot, now)
             self._grants.advance(now)
             self._serve(now)
 
@@ -153,7 +153,7 @@
             return waiter.grant
         if waiter.error is not None:
             raise waiter.error
-        raise late_refusal(work)
+        raise deadline_refusal(work)
 
     def enqueue(
         self,
@@ -307,16 +307,16 @@
             if not self._is_current(now):
                 return {}
             self._grants.advance(now)
-            rooms = {}
+            free_by_service = {}
             for service in self._snapshot.state.of(Service):
                 names = self._slots.servers(service)
                 if names:
-                    rooms[service] = sum(
+                    free_by_service[service] = sum(
                         self._slots.server(name).free
                         for name in names
                         if self._may_use(name, now)
                     )
-            return rooms
+            return free_by_service
 
     def in_flight(self) -> int:
         """Return the number of grants in use."""
@@ -364,23 +364,23 @@
         self, work: Work, excluded: frozenset[ServerName], now: float
     ) -> Grant | None:
         free = self._slots.free_servers(work.service, is_long=work.is_long)
-        if not free or not self._units.has_room(now):
+        if not free or not self._units.has_free_unit(now):
             return None
         members = self._slots.servers(work.service)
-        keeps_free = not work.is_long and self._is_suspect(work, now)
+        must_keep_one_free = not work.is_long and self._is_suspect(work, now)
 
-        def fits(name: ServerName) -> bool:
+        def is_allowed(name: ServerName) -> bool:
             if name in excluded or not self._health.may_use(
                 self._snapshot, name, now
             ):
                 return False
             row = self._slots.server(name)
             if work.is_long:
-                longs = row.long_in_flight + row.overdue
-                return longs < row.mine_long
-            if not keeps_free:
+                long_in_use = row.long_in_flight + row.overdue
+                return long_in_use < row.long_capacity
+            if not must_keep_one_free:
                 return True
-            if row.mine > 1:
+            if row.capacity > 1:
                 return row.free > 1
             return len(free) > len(members) / 4.0
 
@@ -388,15 +388,15 @@
             free,
             members,
             self._row,
-            fits,
+            is_allowed,
             now,
             self._rng,
             may_probe=work.request_class.repeatable,
         )
         if name is None:
             return None
-        self._shift_caps.take(self._snapshot, work, now)
-        return self._grants.take(work, name, now)
+        self._shift_caps.consume(self._snapshot, work, now)
+        return self._grants.allocate(work, name, now)
 
     def _row(self, name: ServerName) -> tuple[ServerHealth, ServerSlots]:
         return self._health[name], self._slots.server(name)
@@ -415,10 +415,13 @@
     def _serve(self, now: float) -> None:
         if self._is_current(now):
             self._queues.serve(
-                now, self._may_try, self._grant_waiter, self._expire_waiter
+                now,
+                self._has_free_server,
+                self._grant_waiter,
+                self._deadline_error,
             )
 
-    def _may_try(self, key: QueueKey) -> bool:
+    def _has_free_server(self, key: QueueKey) -> bool:
         free = self._slots.free_servers(key[0], is_long=False)
         return bool(free)
 
@@ -426,8 +429,8 @@
         now = self._clock.monotonic()
         return self._grant(waiter.work, waiter.excluded, now)
 
-    def _expire_waiter(self, waiter: Waiter[Work, Grant]) -> ChiverunError:
-        return late_refusal(waiter.work)
+    def _deadline_error(self, waiter: Waiter[Work, Grant]) -> ChiverunError:
+        return deadline_refusal(waiter.work)
 
     def _rebuild(self, snapshot: "Snapshot", now: float) -> None:
         """Rebuild slots, health rows and caps after a change of layout."""
@@ -441,6 +444,6 @@
         seats = zone.seats if zone is not None else 1
         self._slots.rebuild(servers, snapshot.seats, seats, now)
         self._health.rebuild(servers, now)
-        self._units.lay_out(snapshot, zone)
+        self._units.rebuild_from_snapshot(snapshot, zone)
         self._times.keep(state.of(Service))
         self._shift_caps.prune(now)
--- a/chiverun/core/choice.py
+++ b/chiverun/core/choice.py
@@ -16,20 +16,20 @@
 from chiverun.core.slots import ServerSlots
 
 # Random draws before all servers with a free slot are scanned.
-DRAWS_MAX = 8
+RANDOM_DRAWS_MAX = 8
 # Aged slowness below which a request that cannot be hedged may also probe a
 # server, for services without repeatable requests.
-PROBE_ANYWAY = 1.5
+UNHEDGED_PROBE_SLOWNESS_MAX = 1.5
 
-Lookup = Callable[[ServerName], tuple[ServerHealth, ServerSlots]]
-Fits = Callable[[ServerName], bool]
+ServerLookup = Callable[[ServerName], tuple[ServerHealth, ServerSlots]]
+ServerFilter = Callable[[ServerName], bool]
 
 
 def choose(
     free: NameSet,
     members: Sequence[ServerName],
-    lookup: Lookup,
-    fits: Fits,
+    lookup: ServerLookup,
+    is_allowed: ServerFilter,
     now: float,
     rng: random.Random,
     *,
@@ -56,12 +56,12 @@
         hedged loses little time.
     """
     first: ServerName | None = None
-    draws = DRAWS_MAX if len(free) else 0
+    draws = RANDOM_DRAWS_MAX if len(free) else 0
     for _ in range(draws):
         name = free.draw(rng)
         if name == first or not _may_start(lookup, name, now, may_probe):
             continue
-        if not fits(name):
+        if not is_allowed(name):
             continue
         if first is None:
             first = name
@@ -69,14 +69,14 @@
         return min(
             first, name, key=lambda n: expected_slowness(lookup, n, now)
         )
-    return _scan(free, members, lookup, fits, now, rng, may_probe)
+    return _scan(free, members, lookup, is_allowed, now, rng, may_probe)
 
 
 def _scan(
     free: NameSet,
     members: Sequence[ServerName],
-    lookup: Lookup,
-    fits: Fits,
+    lookup: ServerLookup,
+    is_allowed: ServerFilter,
     now: float,
     rng: random.Random,
     may_probe: bool,
@@ -87,16 +87,16 @@
     wait for. Otherwise ejected servers get one request at a time, so that a
     wrong ejection of all servers does not stop a service.
     """
-    fitting = [name for name in free.names if fits(name)]
+    allowed = [name for name in free.names if is_allowed(name)]
     usable = [
-        name for name in fitting if _may_start(lookup, name, now, may_probe)
+        name for name in allowed if _may_start(lookup, name, now, may_probe)
     ]
     if not usable and not any(_is_normal(lookup, n, now) for n in members):
         usable = [
             name
-            for name in fitting
+            for name in allowed
             if eligibility(lookup(name)[0], now) is Eligibility.OPEN
-        ] or [name for name in fitting if _may_try(lookup, name, now)]
+        ] or [name for name in allowed if _may_try_ejected(lookup, name, now)]
     if len(usable) > 2:
         usable = rng.sample(usable, 2)
     return min(
@@ -106,33 +106,37 @@
     )
 
 
-def expected_slowness(lookup: Lookup, name: ServerName, now: float) -> float:
+def expected_slowness(
+    lookup: ServerLookup, name: ServerName, now: float
+) -> float:
     """Return the aged slowness, scaled by the requests in flight."""
     health, slots = lookup(name)
-    load = slots.in_flight / max(1, slots.mine)
+    load = slots.in_flight / max(1, slots.capacity)
     return aged_slowness(health, now) * (1.0 + load)
 
 
-def _is_normal(lookup: Lookup, name: ServerName, now: float) -> bool:
+def _is_normal(lookup: ServerLookup, name: ServerName, now: float) -> bool:
     health, _ = lookup(name)
     return eligibility(health, now) is Eligibility.OPEN and not is_slow(health)
 
 
-def _may_try(lookup: Lookup, name: ServerName, now: float) -> bool:
+def _may_try_ejected(
+    lookup: ServerLookup, name: ServerName, now: float
+) -> bool:
     health, slots = lookup(name)
     is_ejected = eligibility(health, now) is Eligibility.EJECTED
     return is_ejected and slots.in_flight == 0
 
 
 def _may_start(
-    lookup: Lookup, name: ServerName, now: float, may_probe: bool
+    lookup: ServerLookup, name: ServerName, now: float, may_probe: bool
 ) -> bool:
     health, slots = lookup(name)
     if eligibility(health, now) is not Eligibility.OPEN:
         return False
     if is_slow(health):
         # A single probe is allowed once the estimate has decayed.
-        limit = SLOW_FACTOR if may_probe else PROBE_ANYWAY
+        limit = SLOW_FACTOR if may_probe else UNHEDGED_PROBE_SLOWNESS_MAX
         return slots.in_flight == 0 and aged_slowness(health, now) <= limit
     share = slow_start_share(health, now)
-    return slots.in_flight < max(1.0, share * slots.mine)
+    return slots.in_flight < max(1.0, share * slots.capacity)
--- a/chiverun/core/grants.py
+++ b/chiverun/core/grants.py
@@ -10,7 +10,7 @@
 from chiverun.core.healthtable import HealthTable
 from chiverun.core.ids import SeatIndex
 from chiverun.core.ids import ServerName
-from chiverun.core.overdue import OVERDUE_FACTOR
+from chiverun.core.overdue import OVERDUE_MEDIANS
 from chiverun.core.overdue import OVERDUE_MIN_S
 from chiverun.core.overdue import OverdueTable
 from chiverun.core.slots import RegionUnits
@@ -35,9 +35,9 @@
         self._occupied: list[tuple[float, int, Grant]] = []
         self._numbers = 0
 
-    def take(self, work: Work, name: ServerName, now: float) -> Grant:
+    def allocate(self, work: Work, name: ServerName, now: float) -> Grant:
         """Allocate a free slot of a server and a unit of the region's cap."""
-        slot = self.slots.take(name, is_long=work.is_long)
+        slot = self.slots.allocate(name, is_long=work.is_long)
         self._numbers += 1
         grant = Grant(
             number=self._numbers,
@@ -52,7 +52,7 @@
         usual_s = self._times.median_s(work.key)
         if not work.is_long and usual_s:
             slowness = aged_slowness(self._health[name], now)
-            limit_s = OVERDUE_FACTOR * usual_s * max(1.0, slowness)
+            limit_s = OVERDUE_MEDIANS * usual_s * max(1.0, slowness)
             due_at = now + max(OVERDUE_MIN_S, limit_s)
             self._overdue.watch(grant.number, work.key, name, due_at)
         return grant
--- a/chiverun/core/health.py
+++ b/chiverun/core/health.py
@@ -134,7 +134,9 @@
         return
     sample = min(SLOWNESS_MAX, latency_s / usual_s)
     aged = aged_slowness(row, now)
-    _set(row, aged + SLOWNESS_WEIGHT * (sample - aged), sample, now)
+    _update_slowness(
+        row, aged + SLOWNESS_WEIGHT * (sample - aged), sample, now
+    )
 
 
 def observe_at_least(
@@ -150,10 +152,10 @@
     aged = aged_slowness(row, now)
     if sample > aged:
         estimate = aged + SLOWNESS_WEIGHT * (sample - aged)
-        _set(row, max(row.slowness, estimate), sample, now)
+        _update_slowness(row, max(row.slowness, estimate), sample, now)
 
 
-def _set(
+def _update_slowness(
     row: ServerHealth, estimate: float, sample: float, now: float
 ) -> None:
     if estimate <= SLOW_FACTOR:
@@ -193,7 +195,7 @@
     row.returned_at = row.draining_until
 
 
-def note_returned(
+def start_slow_start(
     rows: Mapping["ServerName", ServerHealth],
     names: Iterable["ServerName"],
     now: float,
--- a/chiverun/core/healthtable.py
+++ b/chiverun/core/healthtable.py
@@ -4,8 +4,8 @@
 
 from chiverun.core.health import Eligibility
 from chiverun.core.health import eligibility
-from chiverun.core.health import note_returned
 from chiverun.core.health import ServerHealth
+from chiverun.core.health import start_slow_start
 from chiverun.core.ids import ServerName
 from chiverun.core.ticket import Server
 from chiverun.core.ticket import ServerState
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._out: frozenset[ServerName] = frozenset()
+        self._draining: frozenset[ServerName] = frozenset()
 
     def rebuild(self, servers: list[Server], now: float) -> None:
         """Keep the rows of known servers; new servers get a slow start.
@@ -38,17 +38,17 @@
                     row.returned_at = now
             self[server.name] = row
 
-    def note_returned(self, snapshot: "Snapshot", now: float) -> None:
+    def start_slow_start(self, snapshot: "Snapshot", now: float) -> None:
         """Start the slow start of servers that no longer drain."""
         leaving = snapshot.leaving_servers
         servers = snapshot.state.of(Server)
-        out = frozenset(
+        draining_names = frozenset(
             name
             for name in self
             if name in leaving or servers[name].state is ServerState.DRAIN
         )
-        note_returned(self, self._out - out, now)
-        self._out = out
+        start_slow_start(self, self._draining - draining_names, now)
+        self._draining = draining_names
 
     def draining(self, now: float) -> frozenset[ServerName]:
         """Return the servers that have announced that they are draining."""
--- a/chiverun/core/limits.py
+++ b/chiverun/core/limits.py
@@ -79,8 +79,8 @@
         self._advance(now)
         self.bytes_per_s = bytes_per_s
 
-    def try_admit(self, now: float, most: int, limit_s: float) -> bool:
-        """Admit a message of at most `most` bytes, sent within `limit_s`.
+    def try_admit(self, now: float, bytes_max: int, limit_s: float) -> bool:
+        """Admit a message of at most `bytes_max` bytes, sent within `limit_s`.
 
         An idle rate admits one message of any size, since its actual size
         may be far below the maximum.
@@ -89,17 +89,17 @@
             return False
         self._advance(now)
         waiting = self.admitted + self._backlog()
-        if waiting and (waiting + most) / self.bytes_per_s > limit_s:
+        if waiting and (waiting + bytes_max) / self.bytes_per_s > limit_s:
             return False
-        self.admitted += most
+        self.admitted += bytes_max
         return True
 
-    def book(self, now: float, most: int, actual: int) -> Booking:
-        """Replace an admission of `most` bytes by a place in send order."""
-        self.admitted -= most
+    def book(self, now: float, bytes_max: int, actual_bytes: int) -> Booking:
+        """Replace an admission of `bytes_max` by a place in send order."""
+        self.admitted -= bytes_max
         self._advance(now)
-        self._booked = max(self._booked, self._served) + actual
-        return Booking(size=actual, position=self._booked)
+        self._booked = max(self._booked, self._served) + actual_bytes
+        return Booking(size=actual_bytes, position=self._booked)
 
     def try_send(self, now: float, booking: Booking) -> float:
         """Return the wait in seconds; 0 if the message may be sent now."""
--- a/chiverun/core/links.py
+++ b/chiverun/core/links.py
@@ -29,8 +29,8 @@
 _RECHECK_S = 0.25
 # The expected size of a class is its largest response, with a margin. It
 # decays, so that one large response does not block the class on a link.
-_SIZE_HALVES_IN_S = 60.0
-_SIZE_MARGIN = 1.5
+_SIZE_HALF_LIFE_S = 60.0
+_SIZE_MARGIN_FACTOR = 1.5
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -38,7 +38,7 @@
     """Bytes admitted to a link until the message is booked."""
 
     rate: ByteRate
-    most: int
+    bytes_max: int
 
 
 def message_bytes(headers: Iterable[tuple[str, str]], body: bytes) -> int:
@@ -63,14 +63,14 @@
         if name not in self._largest:
             return None
         size, seen_at = self._largest[name]
-        faded = size * 0.5 ** ((now - seen_at) / _SIZE_HALVES_IN_S)
-        return int(faded * _SIZE_MARGIN)
+        decayed = size * 0.5 ** ((now - seen_at) / _SIZE_HALF_LIFE_S)
+        return int(decayed * _SIZE_MARGIN_FACTOR)
 
-    def note(self, name: str, actual: int, now: float) -> None:
+    def record(self, name: str, actual_bytes: int, now: float) -> None:
         """Record the size of a response."""
         expected = self.expected(name, now) or 0
-        if actual * _SIZE_MARGIN >= expected:
-            self._largest[name] = (float(actual), now)
+        if actual_bytes * _SIZE_MARGIN_FACTOR >= expected:
+            self._largest[name] = (float(actual_bytes), now)
 
 
 class Links:
@@ -128,9 +128,9 @@
             )
 
     def reserve(
-        self, target: RegionName, most: int, limit_s: float
+        self, target: RegionName, bytes_max: int, limit_s: float
     ) -> Reservation | None:
-        """Admit a message of at most `most` bytes to another region.
+        """Admit a message of at most `bytes_max` bytes to another region.
 
         After a pause of this process no message is admitted, since other
         instances may have claimed its seats.
@@ -140,46 +140,46 @@
             rate = self._rates.get(target)
             if rate is None or now > self._usable_until:
                 return None
-            if not rate.try_admit(now, most, limit_s):
+            if not rate.try_admit(now, bytes_max, limit_s):
                 return None
-            return Reservation(rate=rate, most=most)
+            return Reservation(rate=rate, bytes_max=bytes_max)
 
     def reserve_response(
-        self, target: RegionName, name: str, most: int, limit_s: float
+        self, target: RegionName, name: str, bytes_max: int, limit_s: float
     ) -> Reservation | None:
         """Admit the response to a request of a class before it runs.
 
         A class whose responses exceed one second of this portion is
         rejected, since such responses cannot be sent.
         """
-        most += _OVERHEAD_BYTES
+        bytes_max += _OVERHEAD_BYTES
         with self._lock:
             expected = self._sizes.expected(name, self._clock.monotonic())
             rate = self._rates.get(target)
             if rate is None or (expected or 0) > rate.bytes_per_s:
                 return None
         if expected is not None:
-            most = min(most, expected)
-        return self.reserve(target, most, limit_s)
+            bytes_max = min(bytes_max, expected)
+        return self.reserve(target, bytes_max, limit_s)
 
-    def note_response(self, name: str, actual: int) -> None:
+    def note_response(self, name: str, actual_bytes: int) -> None:
         """Record the actual size of a response of a class."""
         with self._lock:
-            self._sizes.note(name, actual, self._clock.monotonic())
+            self._sizes.record(name, actual_bytes, self._clock.monotonic())
 
     def cancel(self, reservation: Reservation) -> None:
         """Release a reservation whose message will not be sent."""
         with self._lock:
-            reservation.rate.admitted -= reservation.most
+            reservation.rate.admitted -= reservation.bytes_max
 
     def pace(
-        self, reservation: Reservation, actual: int, deadline: float
+        self, reservation: Reservation, actual_bytes: int, deadline: float
     ) -> bool:
         """Wait until a message may be sent; return False after `deadline`."""
         rate = reservation.rate
         with self._lock:
             now = self._clock.monotonic()
-            booking = rate.book(now, reservation.most, actual)
+            booking = rate.book(now, reservation.bytes_max, actual_bytes)
         while True:
             wait_s = self._try_send(rate, booking)
             if wait_s <= 0:
--- a/chiverun/core/lookup.py
+++ b/chiverun/core/lookup.py
@@ -89,15 +89,15 @@
     snapshot: "Snapshot",
     table: "BlockTable",
     client: int,
-    home: "ZoneName",
+    own_zone: "ZoneName",
     ttl_s: float,
 ) -> LookupResult:
     """Answer a look-up with instances near the client's zone.
 
     The client's zone comes first, then its region, then all others. An
-    unlisted client is treated as a client of the zone `home`.
+    unlisted client is treated as a client of `own_zone`.
     """
-    zone = table.find(client) or home
+    zone = table.find(client) or own_zone
     addresses: list[Address] = []
     for view in _by_distance(snapshot, zone):
         addresses.extend(a.entry for a in _rotated(view, client))
--- a/chiverun/core/membership.py
+++ b/chiverun/core/membership.py
@@ -24,8 +24,8 @@
 INDIRECT_PROBES = 2
 SUSPECT_S = 4.0
 # Direct pings to a member that other instances have declared dead.
-CHECKS = 3
-CHECK_PERIOD_S = 0.4
+DIRECT_PINGS = 3
+DIRECT_PING_PERIOD_S = 0.4
 ENDED_KEPT = 256
 RELAYED_MAX = 256
 EXPIRE_PERIOD_S = 0.25
@@ -52,7 +52,7 @@
     """
     row = table.rows.get(advert.instance)
     if row is None:
-        if not _has_room(table, advert, zone, now):
+        if not _make_space(table, advert, zone, now):
             return False
         row = Member(
             instance=advert.instance,
@@ -81,7 +81,7 @@
     return True
 
 
-def _has_room(
+def _make_space(
     table: MemberTable, advert: Advert, zone: ZoneName, now: float
 ) -> bool:
     if advert.zone == zone:
@@ -179,7 +179,7 @@
     Dead members are probed as well: one message a round detects those that
     were only partitioned.
     """
-    _judge_probe(table, now)
+    _evaluate_probe(table, now)
     while True:
         if not table.probe_order:
             table.probe_order = [m.instance for m in table.in_zone(zone)]
@@ -196,7 +196,7 @@
     return row
 
 
-def _judge_probe(table: MemberTable, now: float) -> None:
+def _evaluate_probe(table: MemberTable, now: float) -> None:
     probe = table.probe
     table.probe = None
     if probe is None or probe.is_acked:
@@ -225,8 +225,8 @@
         m
         for m in table.in_zone(zone)
         if m.state is MemberState.DEAD
-        and m.checks < CHECKS
-        and now - m.checked_at >= CHECK_PERIOD_S
+        and m.checks < DIRECT_PINGS
+        and now - m.checked_at >= DIRECT_PING_PERIOD_S
     ]
     for row in due:
         row.checks += 1
@@ -248,21 +248,21 @@
             continue
         if row.boot_id != sender.boot_id:
             if row.noted_sequence < sequence:
-                note_ended(table, row.boot_id)
+                record_ended(table, row.boot_id)
                 if row.advert is None:
                     table.remove(row.instance)
             continue
-        _note_alive(row, now)
+        _record_alive(row, now)
 
 
-def _note_alive(row: Member, now: float) -> None:
+def _record_alive(row: Member, now: float) -> None:
     row.acked_at = now
     if row.state is MemberState.DEAD:
         row.state = MemberState.SUSPECT
         row.state_since = now
 
 
-def note_ended(table: MemberTable, boot_id: BootId) -> None:
+def record_ended(table: MemberTable, boot_id: BootId) -> None:
     """Record a process lifetime that has ended."""
     table.ended[boot_id] = None
     while len(table.ended) > ENDED_KEPT:
@@ -303,7 +303,7 @@
     probe.is_acked = True
     row = table.rows.get(probe.target)
     if row is not None:
-        _note_alive(row, now)
+        _record_alive(row, now)
 
 
 def expire(table: MemberTable, zone: ZoneName, now: float) -> None:
--- a/chiverun/core/overdue.py
+++ b/chiverun/core/overdue.py
@@ -14,8 +14,9 @@
 if TYPE_CHECKING:
     from chiverun.core.ids import ServerName
 
-# With exponential running times one request in 250 exceeds 8 medians.
-OVERDUE_FACTOR = 8.0
+# In multiples of the class's median; with exponential running times, one
+# request in 250 exceeds 8 medians.
+OVERDUE_MEDIANS = 8.0
 OVERDUE_MIN_S = 0.02
 # A class is suspect if its overdue requests reach both this number and this
 # share of the service's slots.
@@ -26,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class _Overdue:
+class _WatchedRequest:
     key: QueueKey
     server: "ServerName"
 
@@ -35,9 +36,9 @@
     """Watched requests by number; methods are called with a lock held."""
 
     def __init__(self) -> None:
-        self._due: list[tuple[float, int]] = []
-        self._watched: dict[int, _Overdue] = {}
-        self._overdue: dict[int, _Overdue] = {}
+        self._due_times: list[tuple[float, int]] = []
+        self._watched: dict[int, _WatchedRequest] = {}
+        self._overdue: dict[int, _WatchedRequest] = {}
         self._by_class: dict[QueueKey, int] = {}
         self._suspect_until: dict[QueueKey, float] = {}
 
@@ -45,14 +46,14 @@
         self, number: int, key: QueueKey, server: "ServerName", due_at: float
     ) -> None:
         """Watch a request that becomes overdue at `due_at`."""
-        self._watched[number] = _Overdue(key=key, server=server)
-        heapq.heappush(self._due, (due_at, number))
+        self._watched[number] = _WatchedRequest(key=key, server=server)
+        heapq.heappush(self._due_times, (due_at, number))
 
     def advance(self, now: float) -> list["ServerName"]:
         """Return the server of each request that has just become overdue."""
         servers = []
-        while self._due and self._due[0][0] <= now:
-            _, number = heapq.heappop(self._due)
+        while self._due_times and self._due_times[0][0] <= now:
+            _, number = heapq.heappop(self._due_times)
             row = self._watched.pop(number, None)
             if row is not None:
                 self._overdue[number] = row
@@ -64,9 +65,11 @@
         """Stop watching a request; return its server if it was overdue."""
         self._watched.pop(number, None)
         row = self._overdue.pop(number, None)
-        if len(self._due) > 64 + 2 * len(self._watched):
-            self._due = [d for d in self._due if d[1] in self._watched]
-            heapq.heapify(self._due)
+        if len(self._due_times) > 64 + 2 * len(self._watched):
+            self._due_times = [
+                d for d in self._due_times if d[1] in self._watched
+            ]
+            heapq.heapify(self._due_times)
         if row is None:
             return None
         self._by_class[row.key] -= 1
--- a/chiverun/core/peertable.py
+++ b/chiverun/core/peertable.py
@@ -20,7 +20,7 @@
 # Delay between machines that replace a silent relay, by rank.
 RELAY_RANK_S = 0.1
 RELAY_RANKS_MAX = 8
-HUBS = 2
+HUBS_PER_REGION = 2
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -131,7 +131,7 @@
             for machine in self.region()
             if machine.name in live or not self._is_listed(now)
         )
-        return sorted([*names, self.me.name])[:HUBS]
+        return sorted([*names, self.me.name])[:HUBS_PER_REGION]
 
     def is_reader(self, now: float, reads_store: bool) -> bool:
         """Return whether this machine reads the store for its region.
--- a/chiverun/core/placement.py
+++ b/chiverun/core/placement.py
@@ -19,16 +19,16 @@
 from chiverun.core.ids import ServerName
 from chiverun.core.ids import ZoneName
 
-_UNIT = float(1 << 64)
+_HASH_RANGE = float(1 << 64)
 
 # A region, or a zone within a region.
 Place = TypeVar("Place", RegionName, ZoneName)
 
 
 @functools.lru_cache(maxsize=65536)
-def unit_hash(text: str) -> float:
+def hash_fraction(text: str) -> float:
     """Return a uniform hash of a text in [0, 1)."""
-    return xxhash.xxh3_64_intdigest(text.encode()) / _UNIT
+    return xxhash.xxh3_64_intdigest(text.encode()) / _HASH_RANGE
 
 
 def rendezvous(key: str, servers: Sequence[Server]) -> list[Server]:
@@ -42,7 +42,7 @@
 
 @functools.lru_cache(maxsize=65536)
 def _rendezvous_weight(key: str, name: ServerName) -> float:
-    return unit_hash(f"{name}\0{key}")
+    return hash_fraction(f"{name}\0{key}")
 
 
 def zone_first(
@@ -64,8 +64,8 @@
     if inside is None:
         return list(ranked)
     outside = next((s for s in ranked if s.zone != zone), None)
-    ahead = [server for server in (inside, outside) if server is not None]
-    return ahead + [server for server in ranked if server not in ahead]
+    preferred = [server for server in (inside, outside) if server is not None]
+    return preferred + [server for server in ranked if server not in preferred]
 
 
 def fair_shares(
@@ -95,23 +95,23 @@
         place: slots / total_capacity * total_demand
         for place, slots in capacity.items()
     }
-    mine = demand.get(source, 0.0)
-    if mine <= 0:
+    own_demand = demand.get(source, 0.0)
+    if own_demand <= 0:
         return {source: 1.0}
-    kept = min(mine, fair.get(source, 0.0))
+    covered = min(own_demand, fair.get(source, 0.0))
     surplus = {
-        place: max(0.0, room - demand.get(place, 0.0))
-        for place, room in fair.items()
+        place: max(0.0, fair_demand - demand.get(place, 0.0))
+        for place, fair_demand in fair.items()
         if place != source
     }
     total_surplus = sum(surplus.values())
-    over = (mine - kept) / mine
-    if over <= 0 or total_surplus <= 0:
+    excess = (own_demand - covered) / own_demand
+    if excess <= 0 or total_surplus <= 0:
         return {source: 1.0}
-    shares = {source: 1.0 - over}
-    for place, room in surplus.items():
-        if room > 0:
-            shares[place] = over * room / total_surplus
+    shares = {source: 1.0 - excess}
+    for place, spare in surplus.items():
+        if spare > 0:
+            shares[place] = excess * spare / total_surplus
     return shares
 
 
@@ -122,16 +122,16 @@
 
     `level` makes the choice of a region independent of that of a zone.
     """
-    point = unit_hash(f"{level}\0{key}")
-    passed = shares.get(source, 0.0)
-    if point < passed:
+    point = hash_fraction(f"{level}\0{key}")
+    cumulative = shares.get(source, 0.0)
+    if point < cumulative:
         return source
     last = source
     for place in sorted(shares):
         if place == source:
             continue
         last = place
-        passed += shares[place]
-        if point < passed:
+        cumulative += shares[place]
+        if point < cumulative:
             return place
     return last
--- a/chiverun/core/queuelimits.py
+++ b/chiverun/core/queuelimits.py
@@ -37,11 +37,11 @@
         self._times = times
         self._slots = slots
         self._health = health
-        self._open_slots: dict[tuple[ServiceName, bool], float] = {}
+        self._cached_slots: dict[tuple[ServiceName, bool], float] = {}
 
-    def note_snapshot(self) -> None:
+    def clear_cache(self) -> None:
         """Clear the values computed from the previous snapshot."""
-        self._open_slots = {}
+        self._cached_slots = {}
 
     def check(self, snapshot: "Snapshot", work: Work, now: float) -> None:
         """Raise unless a request may wait for a slot.
@@ -96,13 +96,13 @@
         servers.
         """
         key = (work.service, work.is_long)
-        if key not in self._open_slots:
+        if key not in self._cached_slots:
             total = 0.0
             for name in self._slots.servers(work.service):
                 if self._health.may_use(snapshot, name, now):
                     row = self._slots.server(name)
-                    slots = row.mine_long if work.is_long else row.mine
+                    slots = row.long_capacity if work.is_long else row.capacity
                     slowness = aged_slowness(self._health[name], now)
                     total += slots / max(1.0, slowness)
-            self._open_slots[key] = total
-        return self._open_slots[key]
+            self._cached_slots[key] = total
+        return self._cached_slots[key]
--- a/chiverun/core/retries.py
+++ b/chiverun/core/retries.py
@@ -13,7 +13,7 @@
 LONG_THREADS_SHARE = 0.5
 # An earlier hedge costs more than it gains.
 HEDGE_MIN_S = 0.002
-_UNIT = 1000
+_SCALE = 1000
 
 
 class RetryBudget:
@@ -23,28 +23,28 @@
         self, *, ratio: float = BUDGET_RATIO, start: float = BUDGET_START
     ) -> None:
         # Integers avoid rounding: ten deposits of 0.1 make one attempt.
-        self._ratio = round(ratio * _UNIT)
-        self._balance = round(start * _UNIT)
+        self._ratio = round(ratio * _SCALE)
+        self._balance = round(start * _SCALE)
         self._lock = threading.Lock()
 
     def deposit(self) -> None:
         """Count a first attempt."""
         with self._lock:
-            most = round(BUDGET_MAX * _UNIT)
+            most = round(BUDGET_MAX * _SCALE)
             self._balance = min(most, self._balance + self._ratio)
 
     def withdraw(self) -> bool:
         """Withdraw one extra attempt; return False if the budget is empty."""
         with self._lock:
-            if self._balance < _UNIT:
+            if self._balance < _SCALE:
                 return False
-            self._balance -= _UNIT
+            self._balance -= _SCALE
             return True
 
     def refund(self) -> None:
         """Return an extra attempt that was not made to the budget."""
         with self._lock:
-            self._balance += _UNIT
+            self._balance += _SCALE
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/chiverun/core/routing.py
+++ b/chiverun/core/routing.py
@@ -19,7 +19,7 @@
     from chiverun.core.ticket import Shift
 
 # Free slots of an older advert are ignored.
-ROOM_MAX_AGE_S = 5.0
+FREE_SLOTS_MAX_AGE_S = 5.0
 TARGETS_MAX = 3
 # Round trip to another region. A request that expects a slot in its own zone
 # sooner waits there instead.
@@ -52,24 +52,24 @@
 def overflow_targets(
     snapshot: "Snapshot",
     me: "InstanceId",
-    home: ZoneName,
+    own_zone: ZoneName,
     service: "ServiceName",
     now: float,
 ) -> list[Target]:
     """Return at most three instances with free slots, nearest first.
 
-    Instances of the zone `home` come first, then those of its region, then
-    those of other regions with a link. Within each group, instances with the
-    most free slots come first.
+    Instances of `own_zone` come first, then those of its region, then those
+    of other regions with a link. Within each group, instances with the most
+    free slots come first.
     """
     state = snapshot.state
-    zone = state.of(Zone).get(home)
+    zone = state.of(Zone).get(own_zone)
     if zone is None:
         return []
     targets = [
         t
         for t in _targets(snapshot, me)
-        if _has_room(t, service, now)
+        if _has_free_slots(t, service, now)
         and (
             t.region == zone.region
             or link_between(state, zone.region, t.region) is not None
@@ -77,7 +77,7 @@
     ]
     targets.sort(
         key=lambda t: (
-            t.zone != home,
+            t.zone != own_zone,
             t.region != zone.region,
             -t.addresses.free_slots.get(service, 0),
         )
@@ -111,7 +111,7 @@
         addresses = target.addresses
         if target.region != shift.target:
             continue
-        if now - addresses.measured_at > ROOM_MAX_AGE_S:
+        if now - addresses.measured_at > FREE_SLOTS_MAX_AGE_S:
             continue
         portion = held_portion(
             snapshot.state,
@@ -129,17 +129,17 @@
     snapshot: "Snapshot", region: RegionName, service: "ServiceName"
 ) -> tuple[int, float]:
     """Return a region's free slots for a service and the measuring time."""
-    rooms = [
-        a
+    entries = [
+        addresses
         for view in snapshot.zones.values()
         if view.region == region and not view.is_drained
-        for a in view.instances
+        for addresses in view.instances
     ]
-    if not rooms:
+    if not entries:
         return 0, float("-inf")
     return (
-        sum(a.free_slots.get(service, 0) for a in rooms),
-        min(a.measured_at for a in rooms),
+        sum(a.free_slots.get(service, 0) for a in entries),
+        min(a.measured_at for a in entries),
     )
 
 
@@ -152,9 +152,11 @@
     ]
 
 
-def _has_room(target: Target, service: "ServiceName", now: float) -> bool:
+def _has_free_slots(
+    target: Target, service: "ServiceName", now: float
+) -> bool:
     addresses = target.addresses
     return (
-        now - addresses.measured_at <= ROOM_MAX_AGE_S
+        now - addresses.measured_at <= FREE_SLOTS_MAX_AGE_S
         and addresses.free_slots.get(service, 0) > 0
     )
--- a/chiverun/core/seats.py
+++ b/chiverun/core/seats.py
@@ -19,7 +19,7 @@
 from chiverun.core.ids import BootId
 from chiverun.core.ids import SeatIndex
 from chiverun.core.ids import ZoneName
-from chiverun.core.membership import CHECKS
+from chiverun.core.membership import DIRECT_PINGS
 from chiverun.core.membership import SUSPECT_S
 from chiverun.core.messages import MemberState
 from chiverun.core.messages import SeatHolderRecord
@@ -27,7 +27,7 @@
 from chiverun.core.tables import Held
 from chiverun.core.tables import Member
 from chiverun.core.tables import MemberTable
-from chiverun.core.tables import OldClasses
+from chiverun.core.tables import OldDeadlines
 from chiverun.core.tables import Owner
 from chiverun.core.tables import SeatHolder
 from chiverun.core.tables import SeatTable
@@ -60,7 +60,7 @@
 CLAIM_EPOCHS = 64
 # Limits the table entries that messages can create.
 SEATS_MAX = 4096
-OLD_CLASSES_MAX = 32
+OLD_DEADLINES_MAX = 32
 
 
 class SeatRecord(msgspec.Struct, frozen=True, kw_only=True):
@@ -112,12 +112,14 @@
     return math.ceil(seats / max(1, live))
 
 
-def record_holder(table: SeatTable, seat: SeatIndex, mark: SeatHolder) -> bool:
+def record_holder(
+    table: SeatTable, seat: SeatIndex, holder: SeatHolder
+) -> bool:
     """Store a seat's holder if it is newer; return whether it was stored."""
     known = table.known_holders.get(seat)
-    if not 0 <= seat < SEATS_MAX or (known is not None and mark <= known):
+    if not 0 <= seat < SEATS_MAX or (known is not None and holder <= known):
         return False
-    table.known_holders[seat] = mark
+    table.known_holders[seat] = holder
     table.digest = None
     return True
 
@@ -147,10 +149,10 @@
 
 def lost_seats(table: SeatTable, boot_id: BootId) -> set[SeatIndex]:
     """Return held or releasing seats that have a later holder."""
-    mine = {**table.releasing, **table.held}
+    own_seats = {**table.releasing, **table.held}
     return {
         seat
-        for seat, held in mine.items()
+        for seat, held in own_seats.items()
         if seat in table.known_holders
         and table.known_holders[seat] > SeatHolder(held.epoch, boot_id)
     }
@@ -183,7 +185,7 @@
         and now - row.state_since >= DEAD_BEFORE_CLAIM_S
         and now - row.measured_at >= SUSPECT_S
         and row.acked_at <= row.state_since
-        and row.checks >= CHECKS
+        and row.checks >= DIRECT_PINGS
         and now - row.checked_at >= DEAD_BEFORE_CLAIM_S / 2
     }
     return frozenset(silent | set(members.ended))
@@ -210,21 +212,21 @@
         plan.missing, key=lambda s: (s % plan.live != plan.rank, s)
     ):
         owner = record.owners.get(seat)
-        is_mine = owner is not None and owner.boot_id == me.boot_id
-        if len(claims) >= plan.most and not is_mine:
+        is_own = owner is not None and owner.boot_id == me.boot_id
+        if len(claims) >= plan.most and not is_own:
             continue
         if owner is not None and not _has_ended(owner, plan, me):
             continue
-        mark = plan.known_holders.get(seat, SeatHolder(0, BootId("")))
+        holder = plan.known_holders.get(seat, SeatHolder(0, BootId("")))
         epoch = record.epoch(seat)
         if (
-            mark.epoch > epoch
-            and mark.boot_id not in plan.ended
-            and mark.boot_id != me.boot_id
+            holder.epoch > epoch
+            and holder.boot_id not in plan.ended
+            and holder.boot_id != me.boot_id
             and seat not in plan.overdue
         ):
             continue
-        epoch = max(epoch, mark.epoch)
+        epoch = max(epoch, holder.epoch)
         claims.append(
             Claim(seat=seat, epoch=epoch + CLAIM_EPOCHS, was_used=epoch > 0)
         )
@@ -288,48 +290,52 @@
     A change of the number of seats assigns slots to other seats. Held seats
     are then closed until the requests on their slots have ended.
     """
-    table.old_classes = [o for o in table.old_classes if o.until > now]
+    table.old_deadlines = [o for o in table.old_deadlines if o.until > now]
     short_s = longest_deadline_s(old, Length.SHORT)
     long_s = longest_deadline_s(old, Length.LONG)
-    is_relaid = _long_slots(old) != _long_slots(new)
-    is_reseated = zone in old.of(Zone) and old.of(Zone)[zone].seats != _seats(
-        new, zone
-    )
+    long_slots_changed = _long_slots(old) != _long_slots(new)
+    seat_count_changed = zone in old.of(Zone) and old.of(Zone)[
+        zone
+    ].seats != _seat_count(new, zone)
     until = now + max(short_s, long_s) + CLOCK_MARGIN_S
-    if is_reseated:
+    if seat_count_changed:
         for held in table.held.values():
             held.short_opens_at = max(held.short_opens_at, until)
             held.long_opens_at = max(held.long_opens_at, until)
     if (
-        is_relaid
-        or is_reseated
+        long_slots_changed
+        or seat_count_changed
         or longest_deadline_s(new, Length.SHORT) < short_s
         or longest_deadline_s(new, Length.LONG) < long_s
     ):
-        kept = OldClasses(
+        kept = OldDeadlines(
             until=until,
             short_s=short_s,
             long_s=long_s,
-            is_relaid=is_relaid or is_reseated,
-            is_reseated=is_reseated,
+            long_slots_changed=long_slots_changed or seat_count_changed,
+            seat_count_changed=seat_count_changed,
         )
-        table.old_classes.append(kept)
-    if len(table.old_classes) > OLD_CLASSES_MAX:
-        first, second = table.old_classes[:2]
-        table.old_classes[:2] = [_merged(first, second)]
+        table.old_deadlines.append(kept)
+    if len(table.old_deadlines) > OLD_DEADLINES_MAX:
+        first, second = table.old_deadlines[:2]
+        table.old_deadlines[:2] = [_merge_deadlines(first, second)]
 
 
-def _merged(first: OldClasses, second: OldClasses) -> OldClasses:
-    return OldClasses(
+def _merge_deadlines(
+    first: OldDeadlines, second: OldDeadlines
+) -> OldDeadlines:
+    return OldDeadlines(
         until=max(first.until, second.until),
         short_s=max(first.short_s, second.short_s),
         long_s=max(first.long_s, second.long_s),
-        is_relaid=first.is_relaid or second.is_relaid,
-        is_reseated=first.is_reseated or second.is_reseated,
+        long_slots_changed=first.long_slots_changed
+        or second.long_slots_changed,
+        seat_count_changed=first.seat_count_changed
+        or second.seat_count_changed,
     )
 
 
-def _seats(state: "State", zone: ZoneName) -> int:
+def _seat_count(state: "State", zone: ZoneName) -> int:
     known = state.of(Zone).get(zone)
     return known.seats if known is not None else 0
 
@@ -342,14 +348,18 @@
     table: SeatTable, state: "State", claim: Claim, now: float
 ) -> Held:
     """Return a claimed seat that opens when no earlier request can run."""
-    old_classes = [o for o in table.old_classes if o.until > now]
-    if not claim.was_used and not any(o.is_reseated for o in old_classes):
+    old_deadlines = [o for o in table.old_deadlines if o.until > now]
+    if not claim.was_used and not any(
+        o.seat_count_changed for o in old_deadlines
+    ):
         return Held(epoch=claim.epoch, short_opens_at=now, long_opens_at=now)
     short_s = longest_deadline_s(state, Length.SHORT)
     long_s = longest_deadline_s(state, Length.LONG)
-    for old in old_classes:
+    for old in old_deadlines:
         long_s = max(long_s, old.long_s)
-        short_s = max(short_s, long_s if old.is_relaid else old.short_s)
+        short_s = max(
+            short_s, long_s if old.long_slots_changed else old.short_s
+        )
     margin_s = CLOCK_MARGIN_S + NEWS_MARGIN_S
     short_opens_at = now + max(short_s + margin_s, SHIFT_WINDOW_S)
     return Held(
@@ -389,6 +399,6 @@
         for m in members.live_in_zone(zone)
         if m.advert is not None and not m.advert.leaving
     }
-    least = max(2.0, max(excess.values(), default=0) / 2)
-    rich = [i for i, seats in excess.items() if seats >= least]
-    return members.rows[rng.choice(rich)] if rich else None
+    excess_min = max(2.0, max(excess.values(), default=0) / 2)
+    candidates = [i for i, seats in excess.items() if seats >= excess_min]
+    return members.rows[rng.choice(candidates)] if candidates else None
--- a/chiverun/core/sendbudget.py
+++ b/chiverun/core/sendbudget.py
@@ -9,7 +9,7 @@
 import dataclasses
 
 from chiverun.core.limits import WindowLimiter
-from chiverun.core.placement import unit_hash
+from chiverun.core.placement import hash_fraction
 
 # Usable part of a limit. The rest is a margin, since windows differ between
 # machines and a request can arrive up to a round trip after it was sent.
@@ -38,7 +38,7 @@
     def __init__(self, *, bounds: BudgetBounds) -> None:
         self._bounds = bounds
         self._requests: collections.deque[float] = collections.deque()
-        self._further: collections.deque[float] = collections.deque()
+        self._extra_sends: collections.deque[float] = collections.deque()
 
     def note_request(self, now: float) -> None:
         """Count a client's request for the service."""
@@ -52,14 +52,14 @@
             self._bounds.ratio * len(self._requests)
             + self._bounds.extra / max(1, machines)
         )
-        if len(self._further) + 1 > allowed:
+        if len(self._extra_sends) + 1 > allowed:
             return False
-        self._further.append(now)
+        self._extra_sends.append(now)
         return True
 
     def _expire(self, now: float) -> None:
         since = now - self._bounds.window_s
-        for times in (self._requests, self._further):
+        for times in (self._requests, self._extra_sends):
             while times and times[0] <= since:
                 times.popleft()
 
@@ -96,7 +96,8 @@
             self._limiter.cap = sends // count
         else:
             ranked = sorted(
-                machines, key=lambda name: unit_hash(f"{self._server}\0{name}")
+                machines,
+                key=lambda name: hash_fraction(f"{self._server}\0{name}"),
             )
             self._limiter.cap = int(self._machine in ranked[:sends])
         return self._limiter.try_consume(now)
--- a/chiverun/core/shift.py
+++ b/chiverun/core/shift.py
@@ -30,7 +30,7 @@
 FIRST_STEP = 0.1
 STEP_GROWTH = 2.0
 # Maximum age of a measurement that allows growth.
-FRESH_S = 3.0
+MEASUREMENT_MAX_AGE_S = 3.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -50,7 +50,7 @@
     grown_at: float = float("-inf")
     diffusion: float = 0.0
     credits: dict["InstanceId", int] = dataclasses.field(default_factory=dict)
-    closed_until: dict["InstanceId", float] = dataclasses.field(
+    skipped_until: dict["InstanceId", float] = dataclasses.field(
         default_factory=dict
     )
 
@@ -108,18 +108,18 @@
 
     Without a recent measurement the fraction does not grow.
     """
-    goal = progress.shift.fraction
-    if progress.fraction >= goal:
-        progress.fraction = goal
+    target_fraction = progress.shift.fraction
+    if progress.fraction >= target_fraction:
+        progress.fraction = target_fraction
         return
-    if measurement is None or measurement.age_s > FRESH_S:
+    if measurement is None or measurement.age_s > MEASUREMENT_MAX_AGE_S:
         return
     if measurement.free_slots <= 0 or now - progress.grown_at < (
         progress.shift.warm_s
     ):
         return
-    step = max(progress.fraction * STEP_GROWTH, goal * FIRST_STEP)
-    progress.fraction = min(goal, step)
+    step = max(progress.fraction * STEP_GROWTH, target_fraction * FIRST_STEP)
+    progress.fraction = min(target_fraction, step)
     progress.grown_at = now
 
 
@@ -140,13 +140,13 @@
     The order is a smooth weighted round robin by portions of the cap.
     Instances that have just rejected a request are skipped.
     """
-    names = {t.addresses.instance for t in targets}
-    for name in set(progress.credits) - names:
+    instance_ids = {t.addresses.instance for t in targets}
+    for name in set(progress.credits) - instance_ids:
         del progress.credits[name]
     usable = [
         t
         for t in targets
-        if now >= progress.closed_until.get(t.addresses.instance, now)
+        if now >= progress.skipped_until.get(t.addresses.instance, now)
     ]
     if not usable:
         return []
@@ -168,4 +168,4 @@
     instance admits another request.
     """
     wait_s = SHIFT_WINDOW_S / max(1, target.portion)
-    progress.closed_until[target.addresses.instance] = now + wait_s
+    progress.skipped_until[target.addresses.instance] = now + wait_s
--- a/chiverun/core/shiftcaps.py
+++ b/chiverun/core/shiftcaps.py
@@ -27,7 +27,7 @@
         self._zone = zone
         self._limits: dict[str, WindowLimiter] = {}
 
-    def take(self, snapshot: "Snapshot", work: Work, now: float) -> None:
+    def consume(self, snapshot: "Snapshot", work: Work, now: float) -> None:
         """Count a request against the caps of its shifts.
 
         Raises
@@ -36,7 +36,7 @@
             SHIFT_CAP; the request has not run.
         """
         for shift in self._crossed(snapshot, work):
-            self._take_cap_of(snapshot, shift, work, now)
+            self._consume_cap(snapshot, shift, work, now)
 
     def is_timely(
         self, snapshot: "Snapshot", grant: Grant, now: float
@@ -75,7 +75,7 @@
         )
         return [shift for shift in shifts if shift is not None]
 
-    def _take_cap_of(
+    def _consume_cap(
         self, snapshot: "Snapshot", shift: Shift, work: Work, now: float
     ) -> None:
         name = cap_name(shift)
--- a/chiverun/core/slots.py
+++ b/chiverun/core/slots.py
@@ -51,26 +51,26 @@
 
     def __init__(self) -> None:
         self.names: list[ServerName] = []
-        self._places: dict[ServerName, int] = {}
+        self._positions: dict[ServerName, int] = {}
 
     def __len__(self) -> int:
         return len(self.names)
 
     def add(self, name: "ServerName") -> None:
         """Add a name if it is not present."""
-        if name not in self._places:
-            self._places[name] = len(self.names)
+        if name not in self._positions:
+            self._positions[name] = len(self.names)
             self.names.append(name)
 
     def discard(self, name: "ServerName") -> None:
         """Remove a name if it is present."""
-        place = self._places.pop(name, None)
-        if place is None:
+        position = self._positions.pop(name, None)
+        if position is None:
             return
         last = self.names.pop()
         if last != name:
-            self.names[place] = last
-            self._places[last] = place
+            self.names[position] = last
+            self._positions[last] = position
 
     def draw(self, rng: random.Random) -> "ServerName":
         """Return one of the names at random."""
@@ -89,8 +89,8 @@
     server: "Server"
     free_short: list[Slot] = dataclasses.field(default_factory=list)
     free_long: list[Slot] = dataclasses.field(default_factory=list)
-    mine: int = 0
-    mine_long: int = 0
+    capacity: int = 0
+    long_capacity: int = 0
     in_flight: int = 0
     long_in_flight: int = 0
     overdue: int = 0
@@ -102,7 +102,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Use:
+class _SlotUse:
     """A use of a slot by a request."""
 
     seat: "SeatIndex"
@@ -116,12 +116,12 @@
         self._servers: dict[ServerName, ServerSlots] = {}
         self._free: dict[ServiceName, NameSet] = {}
         self._free_long: dict[ServiceName, NameSet] = {}
-        self._members: dict[ServiceName, list[ServerName]] = {}
+        self._server_names: dict[ServiceName, list[ServerName]] = {}
         self._layout: dict[SlotKey, Slot] = {}
-        self._used: dict[SlotKey, _Use] = {}
+        self._used: dict[SlotKey, _SlotUse] = {}
         self._opening: list[tuple[float, SlotKey]] = []
         # Slots that have not opened yet, whether in use or free.
-        self._closed: set[SlotKey] = set()
+        self._unopened: set[SlotKey] = set()
 
     def server(self, name: "ServerName") -> ServerSlots:
         """Return the slots of a server."""
@@ -129,7 +129,7 @@
 
     def servers(self, service: "ServiceName") -> Sequence["ServerName"]:
         """Return the servers of a service with slots of held seats."""
-        return self._members.get(service, ())
+        return self._server_names.get(service, ())
 
     def free_servers(
         self, service: "ServiceName", *, is_long: bool
@@ -145,17 +145,17 @@
         """Return whether a slot of a seat is in use or occupied."""
         return any(use.seat == seat for use in self._used.values())
 
-    def take(self, server: "ServerName", *, is_long: bool) -> Slot:
+    def allocate(self, server: "ServerName", *, is_long: bool) -> Slot:
         """Allocate a free slot; short requests use long slots last."""
         row = self._servers[server]
         stack = (
             row.free_long if is_long or not row.free_short else row.free_short
         )
         slot = stack.pop()
-        self._used[slot.key] = _Use(seat=slot.seat, is_long=is_long)
+        self._used[slot.key] = _SlotUse(seat=slot.seat, is_long=is_long)
         row.in_flight += 1
         row.long_in_flight += is_long
-        self._index(row)
+        self._update_free_sets(row)
         return slot
 
     def free(self, key: SlotKey) -> None:
@@ -167,20 +167,20 @@
         row.in_flight -= 1
         row.long_in_flight -= use.is_long
         slot = self._layout.get(key)
-        if slot is not None and key not in self._closed:
-            self._stack(row, slot).append(slot)
-            self._index(row)
+        if slot is not None and key not in self._unopened:
+            self._free_list(row, slot).append(slot)
+            self._update_free_sets(row)
 
     def advance(self, now: float) -> None:
         """Open the slots whose opening time is at or before `now`."""
         while self._opening and self._opening[0][0] <= now:
             _, key = heapq.heappop(self._opening)
-            self._closed.discard(key)
+            self._unopened.discard(key)
             if key not in self._used:
                 slot = self._layout[key]
                 row = self._servers[slot.server]
-                self._stack(row, slot).append(slot)
-                self._index(row)
+                self._free_list(row, slot).append(slot)
+                self._update_free_sets(row)
 
     def rebuild(
         self,
@@ -197,8 +197,8 @@
         by_index = {seat.index: seat for seat in held}
         old = self._servers
         self._servers, self._layout, self._opening = {}, {}, []
-        self._closed = set()
-        self._free, self._free_long, self._members = {}, {}, {}
+        self._unopened = set()
+        self._free, self._free_long, self._server_names = {}, {}, {}
         for server in servers:
             row = ServerSlots(server=server)
             if server.name in old:
@@ -208,8 +208,8 @@
                 seat = by_index.get(slot_seat(server.name, index, seats))
                 if seat is not None:
                     self._add(row, index, seat, now)
-            if row.mine:
-                self._members.setdefault(server.service, []).append(
+            if row.capacity:
+                self._server_names.setdefault(server.service, []).append(
                     server.name
                 )
         for key, use in self._used.items():
@@ -233,19 +233,19 @@
             opens_at=seat.long_opens_at if is_long else seat.short_opens_at,
         )
         self._layout[slot.key] = slot
-        row.mine += 1
-        row.mine_long += is_long
+        row.capacity += 1
+        row.long_capacity += is_long
         if slot.opens_at > now:
             self._opening.append((slot.opens_at, slot.key))
-            self._closed.add(slot.key)
+            self._unopened.add(slot.key)
         elif slot.key not in self._used:
-            self._stack(row, slot).append(slot)
-            self._index(row)
+            self._free_list(row, slot).append(slot)
+            self._update_free_sets(row)
 
-    def _stack(self, row: ServerSlots, slot: Slot) -> list[Slot]:
+    def _free_list(self, row: ServerSlots, slot: Slot) -> list[Slot]:
         return row.free_long if slot.is_long else row.free_short
 
-    def _index(self, row: ServerSlots) -> None:
+    def _update_free_sets(self, row: ServerSlots) -> None:
         service, name = row.server.service, row.server.name
         free = self._free.setdefault(service, NameSet())
         free.add(name) if row.free else free.discard(name)
@@ -288,7 +288,9 @@
                 for seat in held
             }
 
-    def lay_out(self, snapshot: "Snapshot", zone: "Zone | None") -> None:
+    def rebuild_from_snapshot(
+        self, snapshot: "Snapshot", zone: "Zone | None"
+    ) -> None:
         """Set the portions of held seats from the cap of the zone's region."""
         state = snapshot.state
         region = state.of(Region).get(zone.region) if zone else None
@@ -296,27 +298,27 @@
             self.rebuild("", 0, (), 0, 1)
             return
         zones = region_zones(state, region.name)
-        place = [z.name for z in zones].index(zone.name)
+        position = [z.name for z in zones].index(zone.name)
         self.rebuild(
             f"region:{region.name}",
             region.in_flight_max,
             snapshot.seats,
-            sum(z.seats for z in zones[:place]),
+            sum(z.seats for z in zones[:position]),
             sum(z.seats for z in zones),
         )
 
-    def has_room(self, now: float) -> bool:
+    def has_free_unit(self, now: float) -> bool:
         """Return whether a unit is free, or there is no cap."""
-        return self._portions is None or self._find(now) is not None
+        return self._portions is None or self._find_free_seat(now) is not None
 
     def charge(self, now: float) -> "SeatIndex | None":
         """Charge a unit and return its seat; None if there is no cap.
 
-        `has_room` must have returned true at `now`.
+        `has_free_unit` must have returned true at `now`.
         """
         if self._portions is None:
             return None
-        seat = self._find(now)
+        seat = self._find_free_seat(now)
         assert seat is not None
         self._charged[seat] = self._charged.get(seat, 0) + 1
         return seat
@@ -330,7 +332,7 @@
         """Return whether a unit of a seat is charged."""
         return self._charged.get(seat, 0) > 0
 
-    def _find(self, now: float) -> "SeatIndex | None":
+    def _find_free_seat(self, now: float) -> "SeatIndex | None":
         for seat, (units, opens_at) in (self._portions or {}).items():
             if now >= opens_at and self._charged.get(seat, 0) < units:
                 return seat
--- a/chiverun/core/tables.py
+++ b/chiverun/core/tables.py
@@ -168,19 +168,19 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class OldClasses:
+class OldDeadlines:
     """Deadlines that applied before a ticket changed them.
 
-    Requests admitted under them may run until `until`. With `is_relaid`, a
-    slot that now runs only short requests may have run a long one. With
-    `is_reseated`, a slot belonged to another seat.
+    Requests admitted under them may run until `until`. With
+    `long_slots_changed`, a slot that now runs only short requests may have run
+    a long one. With `seat_count_changed`, a slot belonged to another seat.
     """
 
     until: float
     short_s: float
     long_s: float
-    is_relaid: bool
-    is_reseated: bool
+    long_slots_changed: bool
+    seat_count_changed: bool
 
 
 @dataclasses.dataclass(frozen=True, order=True)
@@ -198,10 +198,10 @@
     `known_holders` has the latest known holder of each seat, and `digest`
     their hash (None until computed). `taken` has the epochs of accepted
     transfers, so that none is accepted twice. `gained_seats` has recently
-    gained seats with the number of announcements left. While `suspended_at` is set, the seats
-    may not be used; acknowledgements of pings numbered above
-    `suspended_sequence` were sent after the pause. `unwritten` (owners) and
-    `unwritten_releases` are still to be written to the store's record.
+    gained seats with the number of announcements left. While `suspended_at`
+    is set, the seats may not be used; acknowledgements of pings numbered
+    above `suspended_sequence` were sent after the pause. `unwritten` (owners)
+    and `unwritten_releases` are still to be written to the store's record.
     """
 
     held: dict[SeatIndex, Held] = dataclasses.field(default_factory=dict)
@@ -238,7 +238,7 @@
     )
     write_pending_since: float | None = None
     write_at: float = float("-inf")
-    old_classes: list[OldClasses] = dataclasses.field(default_factory=list)
+    old_deadlines: list[OldDeadlines] = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(kw_only=True)
--- a/chiverun/core/times.py
+++ b/chiverun/core/times.py
@@ -6,17 +6,17 @@
 import bisect
 import dataclasses
 
-_FIRST_S = 0.0002
-_GROWTH = 1.2
-_LIMITS_S = tuple(_FIRST_S * _GROWTH**n for n in range(72))
+_FIRST_LIMIT_S = 0.0002
+_LIMIT_GROWTH = 1.2
+_LIMITS_S = tuple(_FIRST_LIMIT_S * _LIMIT_GROWTH**n for n in range(72))
 # The weight of old samples is halved after this many samples.
-_HALVE_AFTER = 400
+_HALVE_AFTER_SAMPLES = 400
 # Quantiles are cached for this many samples.
-_CACHE_FOR = 16
+_CACHED_FOR_SAMPLES = 16
 _MEAN_WEIGHT = 0.05
 # Half-life of the expected time without new samples. If a wrong estimate made
 # an instance reject all requests, it would otherwise never be corrected.
-_FADE_S = 2.0
+_MEAN_HALF_LIFE_S = 2.0
 SAMPLES_MIN = 20
 
 
@@ -39,30 +39,30 @@
         self.mean_s += weight * (seconds - self.mean_s)
         self.samples += 1
         self.last_at = now
-        place = bisect.bisect_left(_LIMITS_S, seconds)
-        self._counts[min(place, len(_LIMITS_S) - 1)] += 1.0
+        bucket = bisect.bisect_left(_LIMITS_S, seconds)
+        self._counts[min(bucket, len(_LIMITS_S) - 1)] += 1.0
         self._total += 1.0
-        if self.samples % _CACHE_FOR == 0:
+        if self.samples % _CACHED_FOR_SAMPLES == 0:
             self._cached.clear()
-        if self.samples % _HALVE_AFTER == 0:
+        if self.samples % _HALVE_AFTER_SAMPLES == 0:
             self._counts = [count / 2.0 for count in self._counts]
             self._total /= 2.0
 
-    def quantile_s(self, part: float) -> float:
+    def quantile_s(self, quantile: float) -> float:
         """Return a quantile; 0 with fewer than `SAMPLES_MIN` samples."""
         if self.samples < SAMPLES_MIN:
             return 0.0
-        if part not in self._cached:
-            self._cached[part] = self._find(part)
-        return self._cached[part]
+        if quantile not in self._cached:
+            self._cached[quantile] = self._find(quantile)
+        return self._cached[quantile]
 
     def expected_s(self, now: float) -> float:
         """Return the mean, which decays after the last sample."""
-        age_s = max(0.0, now - self.last_at - _FADE_S)
-        return self.mean_s * 0.5 ** (age_s / _FADE_S)
+        age_s = max(0.0, now - self.last_at - _MEAN_HALF_LIFE_S)
+        return self.mean_s * 0.5 ** (age_s / _MEAN_HALF_LIFE_S)
 
-    def _find(self, part: float) -> float:
-        left = part * self._total
+    def _find(self, quantile: float) -> float:
+        left = quantile * self._total
         for limit_s, count in zip(_LIMITS_S, self._counts, strict=True):
             left -= count
             if left <= 0:
--- a/chiverun/core/timestable.py
+++ b/chiverun/core/timestable.py
@@ -40,11 +40,11 @@
     def latest_start(self, work: Work, now: float) -> float:
         """Return the time after which a waiting request is rejected."""
         times = self.get(work.key)
-        need_s = times.quantile_s(START_QUANTILE) if times else 0.0
+        needed_s = times.quantile_s(START_QUANTILE) if times else 0.0
         # At least half of the time left remains, so that a class is not
         # rejected for ever because of old slow samples.
         left_s = work.deadline - now
-        return work.deadline - min(need_s, left_s / 2.0)
+        return work.deadline - min(needed_s, left_s / 2.0)
 
     def record(
         self,
--- a/chiverun/core/waiting.py
+++ b/chiverun/core/waiting.py
@@ -18,7 +18,7 @@
 
 # Maximum number of waiters of a queue checked in one turn, while earlier ones
 # have expired or exclude the free servers.
-LOOKED_AT_MAX = 64
+CHECKED_PER_TURN_MAX = 64
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
@@ -81,16 +81,18 @@
     def serve(
         self,
         now: float,
-        may_try: Callable[[QueueKey], bool],
+        may_serve: Callable[[QueueKey], bool],
         grant: Callable[[Waiter[W, G]], G | None],
-        expired: Callable[[Waiter[W, G]], ChiverunError],
+        deadline_error: Callable[[Waiter[W, G]], ChiverunError],
     ) -> None:
         """Grant slots to waiters, one of each queue in turn."""
         progress = True
         while progress:
             progress = False
             for key in list(self._queues):
-                if may_try(key) and self._serve_one(key, now, grant, expired):
+                if may_serve(key) and self._serve_one(
+                    key, now, grant, deadline_error
+                ):
                     progress = True
                     if key in self._queues:
                         self._queues.move_to_end(key)
@@ -100,7 +102,7 @@
         key: QueueKey,
         now: float,
         grant: Callable[[Waiter[W, G]], G | None],
-        expired: Callable[[Waiter[W, G]], ChiverunError],
+        deadline_error: Callable[[Waiter[W, G]], ChiverunError],
     ) -> bool:
         """Serve the first waiter of a queue that can be served.
 
@@ -110,7 +112,7 @@
         for waiter in self._first(key):
             if waiter.latest_start < now:
                 self.remove(waiter)
-                waiter.finish(error=expired(waiter))
+                waiter.finish(error=deadline_error(waiter))
                 continue
             try:
                 granted = grant(waiter)
@@ -128,4 +130,4 @@
         return False
 
     def _first(self, key: QueueKey) -> list[Waiter[W, G]]:
-        return list(itertools.islice(self._queues[key], LOOKED_AT_MAX))
+        return list(itertools.islice(self._queues[key], CHECKED_PER_TURN_MAX))
--- a/chiverun/core/work.py
+++ b/chiverun/core/work.py
@@ -54,7 +54,7 @@
     granted_at: float
 
 
-def late_refusal(work: Work) -> ChiverunError:
+def deadline_refusal(work: Work) -> ChiverunError:
     """Return the error of a request that cannot meet its deadline."""
     return refusal(
         ResultCode.DEADLINE_UNREACHABLE, work, "no slot became free in time"
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -36,15 +36,17 @@
 _ENDS = (OK, RESET, TimedOut(), NotSent(detail="test"))
 
 
-def _learn(zone: Zoned, request_class, seconds: float, count: int = 30):
+def _record_samples(
+    zone: Zoned, request_class, seconds: float, count: int = 30
+):
     """Record samples of a class that runs for `seconds`."""
     for _ in range(count):
-        grant = zone.take(request_class)
+        grant = zone.acquire(request_class)
         zone.advance(seconds)
         zone.admission.release(grant, OK)
 
 
-def _used_by_plain_count(zone: Zoned, live: list) -> dict:
+def _grants_in_use(zone: Zoned, live: list) -> dict:
     """Return grants in use by server; `live` has (grant, until) pairs."""
     now = zone.clock.monotonic()
     used: dict = {}
@@ -93,7 +95,7 @@
         for step, value in steps:
             zone = zones[len(live) % 2]
             if step == "take":
-                grant = zone.take(value)
+                grant = zone.acquire(value)
                 if grant is not None:
                     live.append([grant, None, zone])
                 elif value is READ:
@@ -101,7 +103,7 @@
             elif step == "end" and live:
                 self._end(live[value % len(live)], _ENDS[value % 4])
             elif step == "move":
-                self._move(zones, value)
+                self._transfer(zones, value)
             elif step == "wait":
                 for each in zones:
                     each.advance(value)
@@ -116,8 +118,8 @@
                 now = zone.clock.monotonic()
                 entry[1] = max(now, grant.work.deadline + CLOCK_MARGIN_S)
 
-    def _move(self, zones, value):
-        previous_holder, taker = zones[value % 2], zones[1 - value % 2]
+    def _transfer(self, zones, value):
+        previous_holder, receiver = zones[value % 2], zones[1 - value % 2]
         moved = [s for s in previous_holder.held if s.index == value % 4]
         previous_holder.held = tuple(
             s for s in previous_holder.held if s not in moved
@@ -126,17 +128,17 @@
         if moved and previous_holder.admission.seat_in_use(moved[0].index):
             previous_holder.held += tuple(moved)
         else:
-            taker.held += tuple(moved)
+            receiver.held += tuple(moved)
         for each in zones:
             each.publish()
 
     def _check_caps(self, zone, live, cap, connections):
-        used = _used_by_plain_count(zone, [e[:2] for e in live])
+        used = _grants_in_use(zone, [e[:2] for e in live])
         self.assertLessEqual(sum(map(len, used.values())), cap)
-        for name, most, long in (("s1", 4, 1), ("s2", 3, 2)):
+        for name, slot_max, long in (("s1", 4, 1), ("s2", 3, 2)):
             grants = used.get(name, [])
-            most = min(most, connections if name == "s1" else most)
-            self.assertLessEqual(len(grants), most)
+            slot_max = min(slot_max, connections if name == "s1" else slot_max)
+            self.assertLessEqual(len(grants), slot_max)
             self.assertEqual(len(grants), len({g.slot for g in grants}))
             longs = [g for g in grants if g.work.request_class is EXPORT]
             self.assertLessEqual(len(longs), long)
@@ -148,15 +150,17 @@
         region = zone.state.objects["region"]["dar"]
         if region.in_flight_max < 100 or any(e[1] is not None for e in live):
             return
-        used = _used_by_plain_count(zone, [e[:2] for e in live])
-        taken = {(g.server.name, g.slot) for gs in used.values() for g in gs}
-        mine = {seat.index for seat in zone.held}
+        used = _grants_in_use(zone, [e[:2] for e in live])
+        used_slots = {
+            (g.server.name, g.slot) for gs in used.values() for g in gs
+        }
+        own_seats = {seat.index for seat in zone.held}
         free = [
             (row.name, slot)
             for row in (s for s in zone.state.objects["server"].values())
             for slot in range(min(row.slots, row.connections_max))
-            if slot_seat(row.name, slot, 4) in mine
-            and (row.name, slot) not in taken
+            if slot_seat(row.name, slot, 4) in own_seats
+            and (row.name, slot) not in used_slots
         ]
         self.assertEqual([], free)
 
@@ -165,69 +169,69 @@
         current = state(server("s1", slots=8), in_flight_max=4)
         late = seats(0, 1, opens_at=1005.0) + seats(2, 3)
         zone = Zoned(current, late)
-        self.assertEqual(2, len(zone.take_all()))
+        self.assertEqual(2, len(zone.acquire_all()))
         zone.advance(6.0)
-        self.assertEqual(2, len(zone.take_all()))
+        self.assertEqual(2, len(zone.acquire_all()))
 
     def test_a_slot_that_is_freed_before_it_opens_stays_closed(self):
         """Guards against a slot that is granted early and then twice."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        grant = zone.take()
+        grant = zone.acquire()
         zone.held = seats(opens_at=zone.clock.monotonic() + 1.0)
         zone.publish()
         zone.admission.release(grant, OK)
-        self.assertIsNone(zone.take())
+        self.assertIsNone(zone.acquire())
         zone.advance(1.1)
-        self.assertEqual(1, len(zone.take_all()))
+        self.assertEqual(1, len(zone.acquire_all()))
 
     def test_a_seat_with_a_charged_unit_is_in_use(self):
         """Guards against the transfer of a seat with a charged unit."""
         name = next(n for n in map(str, range(99)) if slot_seat(n, 0, 4) == 3)
         one = server(name, slots=1, long_slots=0)
         zone = Zoned(state(one, in_flight_max=4))
-        zone.take()
+        zone.acquire()
         in_use = [s for s in range(4) if zone.admission.seat_in_use(s)]
         self.assertEqual([0, 3], in_use)
 
     def test_connections_max_bounds_requests_in_flight(self):
         """Guards against more connections than the server allows."""
         zone = Zoned(state(server("s1", slots=8, connections_max=3)))
-        self.assertEqual(3, len(zone.take_all()))
+        self.assertEqual(3, len(zone.acquire_all()))
 
     def test_an_unknown_end_keeps_the_slot_until_the_deadline(self):
         """Guards against a slot granted while its request may still run."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        zone.admission.release(zone.take(), RESET)
+        zone.admission.release(zone.acquire(), RESET)
         zone.advance(2.0)
-        self.assertIsNone(zone.take())
+        self.assertIsNone(zone.acquire())
         zone.advance(CLOCK_MARGIN_S + 0.01)
-        self.assertIsNotNone(zone.take())
+        self.assertIsNotNone(zone.acquire())
 
     def test_a_cancelled_request_that_ended_frees_its_slot(self):
         """Guards against slots that stay occupied without a request."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        grant = zone.take()
+        grant = zone.acquire()
         zone.admission.release(grant, RESET, cancelled=True, ended=True)
-        self.assertIsNotNone(zone.take())
+        self.assertIsNotNone(zone.acquire())
 
     def test_a_second_release_changes_nothing(self):
         """Guards against a slot freed twice and then granted twice."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        grant = zone.take()
+        grant = zone.acquire()
         zone.admission.release(grant, OK)
-        second = zone.take()
+        second = zone.acquire()
         zone.admission.release(grant, RESET)
         zone.admission.release(grant, OK)
-        self.assertIsNone(zone.take())
+        self.assertIsNone(zone.acquire())
         zone.admission.release(second, OK)
-        self.assertIsNotNone(zone.take())
+        self.assertIsNotNone(zone.acquire())
 
     def test_a_server_that_is_dead_for_hours_leaks_no_slot(self):
         """Guards against float overflow of the doubling ejection time."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
         zone.admission._health["s1"].ejections = 5000
         for _ in range(4):
-            zone.admission.release(zone.take(), NotSent(detail="test"))
+            zone.admission.release(zone.acquire(), NotSent(detail="test"))
             zone.advance(31.0)
         self.assertEqual(0, zone.admission.in_flight())
 
@@ -244,7 +248,7 @@
     def test_a_grant_is_not_used_after_a_change(self, fields):
         """Guards against requests on lost seats and draining servers."""
         zone = Zoned(state(server("s1")))
-        grant = zone.take()
+        grant = zone.acquire()
         self.assertTrue(zone.admission.confirm(grant))
         zone.publish(**fields)
         self.assertFalse(zone.admission.confirm(grant))
@@ -252,7 +256,7 @@
     def test_a_grant_is_not_used_after_the_server_announced_a_drain(self):
         """Guards against requests to a draining server."""
         zone = Zoned(state(server("s1", slots=2, long_slots=0)))
-        first, second = zone.take(), zone.take()
+        first, second = zone.acquire(), zone.acquire()
         zone.admission.release(first, Shed(reason=ShedReason.DRAINING))
         self.assertFalse(zone.admission.confirm(second))
 
@@ -268,7 +272,7 @@
                 services=("desk", "archive"),
             ),
         )
-        grant = zone.take()
+        grant = zone.acquire()
         waiters = [
             zone.wait(service=name)
             for name in ("desk",) * 4 + ("archive",) * 4
@@ -305,17 +309,17 @@
                 shift=(shift,),
             )
         )
-        grant = zone.take()
+        grant = zone.acquire()
         crossing = zone.wait(source="mwanza")
-        home = zone.wait()
+        local = zone.wait()
         zone.admission.release(grant, OK)
         self.assertEqual(ResultCode.SHIFT_CAP, crossing.error.code)
-        self.assertIsNotNone(home.grant)
+        self.assertIsNotNone(local.grant)
 
     def test_a_waiter_whose_servers_are_excluded_does_not_block(self):
         """Guards against a retry that blocks the waiters behind it."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        grant = zone.take()
+        grant = zone.acquire()
         retry = zone.admission.enqueue(
             zone.work(), lambda: None, frozenset({"s1"})
         )
@@ -327,7 +331,7 @@
     def test_a_waiter_past_its_time_gets_no_slot(self):
         """Guards against slots granted to requests past their deadline."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        grant = zone.take()
+        grant = zone.acquire()
         late, next_one = zone.wait(remaining_s=0.5), zone.wait()
         zone.clock.advance(1.0)
         zone.admission.release(grant, OK)
@@ -344,8 +348,8 @@
     def test_a_request_that_cannot_start_in_time_is_rejected_at_once(self):
         """Guards against requests that wait although they must fail."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        _learn(zone, READ, 0.1)
-        zone.take()
+        _record_samples(zone, READ, 0.1)
+        zone.acquire()
         for _ in range(3):
             zone.wait(remaining_s=0.6)
         with self.assertRaises(ChiverunError) as caught:
@@ -364,8 +368,8 @@
             )
         )
         zone.admission._limits.waiters_max = 3
-        zone.take_all()
-        zone.take_all(service="archive")
+        zone.acquire_all()
+        zone.acquire_all(service="archive")
         for request_class in (READ, BOOK, READ):
             zone.wait(request_class)
         with self.assertRaises(ChiverunError) as caught:
@@ -376,15 +380,15 @@
     def test_old_slow_samples_do_not_reject_for_ever(self):
         """Guards against rejections that allow no new samples."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        _learn(zone, READ, 1.0)
-        self.assertIsNone(zone.take(remaining_s=0.5))
+        _record_samples(zone, READ, 1.0)
+        self.assertIsNone(zone.acquire(remaining_s=0.5))
         zone.advance(10.0)
-        self.assertIsNotNone(zone.take(remaining_s=0.5))
+        self.assertIsNotNone(zone.acquire(remaining_s=0.5))
 
     def test_a_waiting_thread_is_woken(self):
         """Guards against a thread that sleeps after its grant."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        grant = zone.take()
+        grant = zone.acquire()
         got = []
         thread = threading.Thread(
             target=lambda: got.append(zone.admission.acquire(zone.work()))
@@ -401,23 +405,23 @@
     def test_overdue_class_leaves_slots_to_others(self):
         """Guards against an overdue short class that fills all slots."""
         zone = Zoned(state(*[server(f"s{i}", long_slots=0) for i in "1234"]))
-        _learn(zone, READ, 0.01)
-        stuck = [zone.take() for _ in range(4)]
+        _record_samples(zone, READ, 0.01)
+        stuck = [zone.acquire() for _ in range(4)]
         zone.advance(0.5)
-        more = zone.take_all()
+        more = zone.acquire_all()
         self.assertEqual(8, len(more))
-        self.assertEqual(4, len(zone.take_all(BOOK)))
+        self.assertEqual(4, len(zone.acquire_all(BOOK)))
         for grant in stuck + more:
             zone.admission.release(grant, OK)
         zone.advance(2.0)
-        self.assertIsNotNone(zone.take())
+        self.assertIsNotNone(zone.acquire())
 
     def test_overdue_request_counts_as_long_for_its_server(self):
         """Guards against more long requests than a server has slots for."""
         zone = Zoned(state(server("s1", slots=4, long_slots=1)))
-        _learn(zone, READ, 0.01)
-        grant = zone.take()
+        _record_samples(zone, READ, 0.01)
+        grant = zone.acquire()
         zone.advance(0.5)
-        self.assertIsNone(zone.take(EXPORT))
+        self.assertIsNone(zone.acquire(EXPORT))
         zone.admission.release(grant, OK)
-        self.assertIsNotNone(zone.take(EXPORT))
+        self.assertIsNotNone(zone.acquire(EXPORT))
--- a/tests/core/test_choice.py
+++ b/tests/core/test_choice.py
@@ -35,7 +35,7 @@
 from tests.core.zones import Zoned
 
 OK = Answered(status=200, headers=(), body=b"")
-BAD = Answered(status=500, headers=(), body=b"")
+SERVER_ERROR = Answered(status=500, headers=(), body=b"")
 
 _SERVERS = st.lists(
     st.fixed_dictionaries(
@@ -81,7 +81,7 @@
                 draining_until=until if row["out"] == "draining" else 0.0,
             )
             slots = ServerSlots(
-                server=None, mine=4, in_flight=row["in_flight"]
+                server=None, capacity=4, in_flight=row["in_flight"]
             )
             table[str(index)] = health, slots
             if row["free"]:
@@ -130,7 +130,7 @@
             for due, grant in [p for p in pending if p[0] <= now]:
                 zone.admission.release(grant, OK)
                 pending.remove((due, grant))
-            grant = zone.take()
+            grant = zone.acquire()
             is_slow_one = grant.server.name in slow
             counts["real"] += is_slow_one
             counts["naive"] += f"s{naive.randrange(10)}" in slow
@@ -142,14 +142,14 @@
         zone = Zoned(state(server("s1", slots=8), server("s2", slots=8)))
         row = zone.admission._health["s1"]
         row.slowness, row.measured_at = 2.5, zone.clock.monotonic()
-        names = [zone.take().server.name for _ in range(8)]
+        names = [zone.acquire().server.name for _ in range(8)]
         self.assertEqual(["s2"] * 8, names)
 
     def test_long_requests_do_not_make_a_server_look_slow(self):
         """Guards against comparing servers by their mix of classes."""
         zone = Zoned(state(server("s1", long_slots=4), server("s2")))
         for request_class, seconds in ((READ, 0.01), (EXPORT, 0.5)) * 60:
-            grant = zone.take(request_class, remaining_s=9.0)
+            grant = zone.acquire(request_class, remaining_s=9.0)
             zone.advance(seconds)
             zone.admission.release(grant, OK)
         row = zone.admission._health["s1"]
@@ -161,16 +161,16 @@
         row = zone.admission._health["s1"]
         row.slowness, row.measured_at = 9.0, zone.clock.monotonic()
         zone.advance(0.1)
-        names = {g.server.name for g in zone.take_all(BOOK)}
+        names = {g.server.name for g in zone.acquire_all(BOOK)}
         self.assertEqual({"s2"}, names)
         zone.advance(20.0)
-        self.assertIn("s1", {g.server.name for g in zone.take_all(BOOK)})
+        self.assertIn("s1", {g.server.name for g in zone.acquire_all(BOOK)})
 
 
 class HealthTest(unittest.TestCase):
     @params(
         (OK, 0.01, 1, Eligibility.OPEN),
-        (BAD, 0.001, 2, Eligibility.EJECTED),
+        (SERVER_ERROR, 0.001, 2, Eligibility.EJECTED),
         (Reset(detail=""), 0.01, 3, Eligibility.EJECTED),
         (NotSent(detail=""), 0.001, 1, Eligibility.EJECTED),
         (Shed(reason=ShedReason.OVERLOAD), 0.01, 1, Eligibility.EJECTED),
@@ -189,7 +189,7 @@
     def test_fast_errors_count_as_slow(self):
         """Guards against a broken server that attracts traffic."""
         row = ServerHealth(name="s1", samples=5)
-        record(row, BAD, 0.0001, 0.01, 1000.0)
+        record(row, SERVER_ERROR, 0.0001, 0.01, 1000.0)
         self.assertTrue(is_slow(row))
 
     def test_a_returning_server_starts_slowly(self):
@@ -199,20 +199,20 @@
         """
         zone = Zoned(state(server("s1", slots=8, long_slots=0)))
         for _ in range(3):
-            zone.admission.release(zone.take(), NotSent(detail="test"))
+            zone.admission.release(zone.acquire(), NotSent(detail="test"))
         zone.advance(2.1)
-        first = zone.take_all()
+        first = zone.acquire_all()
         self.assertEqual(1, len(first))
         zone.advance(SLOW_START_S)
-        self.assertEqual(7, len(zone.take_all()))
+        self.assertEqual(7, len(zone.acquire_all()))
 
     def test_a_new_server_of_a_running_instance_starts_slowly(self):
         """Guards against a cold server that gets its full share at once."""
         zone = Zoned(state(server("s1", slots=1)))
-        zone.admission.release(zone.take(), OK)
+        zone.admission.release(zone.acquire(), OK)
         zone.state = state(server("s1", slots=1), server("s2", slots=8))
         zone.publish()
-        names = [g.server.name for g in zone.take_all()]
+        names = [g.server.name for g in zone.acquire_all()]
         self.assertEqual(1, names.count("s2"))
 
     def test_a_cancelled_exchange_is_no_sign_of_recovery(self):
@@ -267,6 +267,6 @@
         zone = Zoned(state(server("s1"), server("s2")))
         for row in zone.admission._health.values():
             row.ejected_until = zone.clock.monotonic() + 10
-        self.assertEqual(2, len(zone.take_all()))
+        self.assertEqual(2, len(zone.acquire_all()))
         with self.assertRaises(ChiverunError):
             zone.admission.try_acquire(zone.work())
--- a/tests/core/test_grants.py
+++ b/tests/core/test_grants.py
@@ -24,21 +24,21 @@
         self.table.slots.rebuild(servers, seats(), 4, _NOW)
         self.table.advance(_NOW)
 
-    def _take(self):
+    def _grant(self):
         work = Work(
             service="desk",
             request_class=READ,
             source_region="dar",
             deadline=_NOW + 2.0,
         )
-        return self.table.take(work, "s1", _NOW)
+        return self.table.allocate(work, "s1", _NOW)
 
     def _free(self) -> int:
         return self.table.slots.server("s1").free
 
     def test_slot_is_free_after_the_end_only(self) -> None:
         """Guards against a slot used twice while its request runs."""
-        grant = self._take()
+        grant = self._grant()
         self.assertEqual((1, 1), (self._free(), self.table.in_use()))
         self.assertTrue(self.table.give_back(grant))
         self.assertEqual((1, 0), (self._free(), self.table.in_use()))
@@ -49,7 +49,7 @@
 
     def test_grant_is_given_back_once(self) -> None:
         """Guards against freeing a slot that another request uses."""
-        grant = self._take()
+        grant = self._grant()
         self.assertTrue(self.table.give_back(grant))
         self.assertFalse(self.table.give_back(grant))
 
@@ -59,7 +59,7 @@
         After an unknown outcome the server may still run the request until
         its deadline.
         """
-        grant = self._take()
+        grant = self._grant()
         self.table.give_back(grant)
         self.table.occupy(grant, _NOW + 2.25)
         self.table.advance(_NOW + 2.2)
--- a/tests/core/test_limits.py
+++ b/tests/core/test_limits.py
@@ -18,7 +18,7 @@
 _RATE = 1000
 
 
-class _FixedTimes:
+class _FixedSendTimes:
     """Byte rate that fixes the send time when a message is booked."""
 
     def __init__(self, *, bytes_per_s: float) -> None:
@@ -28,12 +28,12 @@
     def set_rate(self, now: float, bytes_per_s: float) -> None:
         self.bytes_per_s = bytes_per_s
 
-    def try_admit(self, now: float, most: int, limit_s: float) -> bool:
+    def try_admit(self, now: float, bytes_max: int, limit_s: float) -> bool:
         return True
 
-    def book(self, now: float, most: int, actual: int) -> float:
+    def book(self, now: float, bytes_max: int, actual_bytes: int) -> float:
         start = max(now, self._free_at)
-        self._free_at = start + actual / max(1, self.bytes_per_s)
+        self._free_at = start + actual_bytes / max(1, self.bytes_per_s)
         return self._free_at
 
     def try_send(self, now: float, booking: float) -> float:
@@ -51,7 +51,7 @@
     )
 
 
-def _play(rates, sizes, changes, steps: int = 400) -> list:
+def _run_messages(rates, sizes, changes, steps: int = 400) -> list:
     """Offer messages to rates; return the (time, size) of each sent one."""
     waiting = []
     sent = []
@@ -78,7 +78,7 @@
 )
 
 
-def _moved(step: int) -> dict:
+def _transfer_at(step: int) -> dict:
     """Return rate changes that transfer half of the rate at `step`.
 
     The new holder's half opens 63 steps later.
@@ -97,21 +97,21 @@
     def test_no_second_exceeds_the_rate_when_seats_move(self, sizes, step):
         """Guards against booked bytes that keep the rate before a transfer."""
         rates = [ByteRate(bytes_per_s=0) for _ in range(2)]
-        sent = _play(rates, sizes, _moved(step))
+        sent = _run_messages(rates, sizes, _transfer_at(step))
         self.assertLessEqual(most_in_a_second(sent), _RATE)
 
-    @params(ByteRate, _FixedTimes)
+    @params(ByteRate, _FixedSendTimes)
     def test_message_before_the_window_counts(self, kind):
         """Guards against send times spaced by message size alone.
 
         They admit one message too many in the first second.
         """
         sizes = {0: [(0, 500)] + [(0, 100)] * 20}
-        sent = _play([kind(bytes_per_s=_RATE)], sizes, {})
+        sent = _run_messages([kind(bytes_per_s=_RATE)], sizes, {})
         exceeds = most_in_a_second(sent) > _RATE
-        self.assertEqual(kind is _FixedTimes, exceeds)
+        self.assertEqual(kind is _FixedSendTimes, exceeds)
 
-    @params(ByteRate, _FixedTimes)
+    @params(ByteRate, _FixedSendTimes)
     def test_backlog_of_an_earlier_holder(self, kind):
         """Guards against send times fixed at the rate before a transfer.
 
@@ -119,9 +119,9 @@
         """
         rates = [kind(bytes_per_s=0) for _ in range(2)]
         sizes = {1: [(0, 250)] * 24, 80: [(1, 250)] * 8}
-        sent = _play(rates, sizes, _moved(5))
+        sent = _run_messages(rates, sizes, _transfer_at(5))
         exceeds = most_in_a_second(sent) > _RATE
-        self.assertEqual(kind is _FixedTimes, exceeds)
+        self.assertEqual(kind is _FixedSendTimes, exceeds)
 
     def test_idle_rate_admits_any_size(self):
         """Guards against rejecting a class of large responses for ever."""
@@ -209,8 +209,8 @@
         """Guards against one large response that blocks its class."""
         sizes = ResponseSizes()
         self.assertIsNone(sizes.expected("c", 0.0))
-        sizes.note("c", 800, 0.0)
-        sizes.note("c", 100, 0.0)
+        sizes.record("c", 800, 0.0)
+        sizes.record("c", 100, 0.0)
         self.assertEqual(1200, sizes.expected("c", 0.0))
         self.assertEqual(600, sizes.expected("c", 60.0))
 
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -49,11 +49,15 @@
         (MemberState.DEAD, MemberState.ALIVE, 2, MemberState.ALIVE),
         (MemberState.SUSPECT, MemberState.DEAD, 1, MemberState.DEAD),
     )
-    def test_updates_in_any_order(self, state, news, number, after) -> None:
+    def test_updates_in_any_order(
+        self, state, new_state, number, after
+    ) -> None:
         """Guards against a delayed update that undoes a refutation."""
         table = _table("b")
         table.rows["b"].state = state
-        update = MemberUpdate(instance="b", incarnation=number, state=news)
+        update = MemberUpdate(
+            instance="b", incarnation=number, state=new_state
+        )
         membership.merge_update(table, update, 1.0)
         self.assertIs(after, table.rows["b"].state)
 
@@ -120,5 +124,5 @@
         self.assertTrue(membership.merge_advert(table, newer, _ZONE, 11.0))
         self.assertEqual(72 * membership.REMOTE_PER_ZONE, len(table.rows))
         for number in range(2 * membership.ENDED_KEPT):
-            membership.note_ended(table, f"life-{number}")
+            membership.record_ended(table, f"life-{number}")
         self.assertEqual(membership.ENDED_KEPT, len(table.ended))
--- a/tests/core/test_peertable.py
+++ b/tests/core/test_peertable.py
@@ -6,7 +6,7 @@
 
 from chiverun.core.catalog import Machine
 from chiverun.core.edgemessages import Heartbeat
-from chiverun.core.peertable import HUBS
+from chiverun.core.peertable import HUBS_PER_REGION
 from chiverun.core.peertable import PeerTable
 from chiverun.core.peertable import SILENT_AFTER_S
 
@@ -97,7 +97,7 @@
         far = [_machine(f"m{40 + i}", "r2") for i in range(9)]
         self.table.note_machines([*near, *far])
         self.table.relay_heard_at = 10.0
-        self.assertEqual(len(self.table.beat_targets(10.1)), HUBS)
+        self.assertEqual(len(self.table.beat_targets(10.1)), HUBS_PER_REGION)
         self.assertEqual(len(self.table.beat_targets(19.0)), len(near))
 
     def test_machines_replace_a_silent_relay_one_by_one(self) -> None:
--- a/tests/core/test_seats.py
+++ b/tests/core/test_seats.py
@@ -15,7 +15,7 @@
 from chiverun.core.seats import keep_old_deadlines
 from chiverun.core.seats import lost_seats
 from chiverun.core.seats import newer_holders
-from chiverun.core.seats import OLD_CLASSES_MAX
+from chiverun.core.seats import OLD_DEADLINES_MAX
 from chiverun.core.seats import record_holder
 from chiverun.core.seats import SeatRecord
 from chiverun.core.seats import SEATS_MAX
@@ -228,8 +228,8 @@
 
     def test_kept_deadlines_are_bounded(self) -> None:
         table = SeatTable()
-        for number in range(2 * OLD_CLASSES_MAX):
+        for number in range(2 * OLD_DEADLINES_MAX):
             old = make_state(long_slots=number % 2)
             new = make_state(long_slots=1 - number % 2)
             keep_old_deadlines(table, old, new, ZONE, 100.0)
-        self.assertEqual(OLD_CLASSES_MAX, len(table.old_classes))
+        self.assertEqual(OLD_DEADLINES_MAX, len(table.old_deadlines))
--- a/tests/core/test_shift.py
+++ b/tests/core/test_shift.py
@@ -97,7 +97,10 @@
     @settings(max_examples=100, derandomize=True, deadline=None)
     @given(st.integers(1, 40))
     def test_portions_add_up_and_none_is_zero(self, cap):
-        """Guards against offers to instances without a portion of the cap."""
+        """Guards against offers to instances without a portion of the cap.
+
+        With a cap of 1, only one of four instances has a portion.
+        """
         targets = _targets(cap_states.shift(cap_per_s=cap))
         self.assertEqual(cap, sum(t.portion for t in targets))
         self.assertTrue(all(t.portion for t in targets))
--- a/tests/core/test_shift_cap.py
+++ b/tests/core/test_shift_cap.py
@@ -21,7 +21,7 @@
 _STEP_S = 0.05
 
 
-class _Bucket:
+class _TokenBucket:
     """A token bucket whose burst is one second of its rate."""
 
     def __init__(self, *, cap: int, window_s: float) -> None:
@@ -61,7 +61,7 @@
                 cap_states.snapshot(self.state, now, held, opens=self.opens)
             )
 
-    def hand_over(self, seat: int, receiver: int) -> None:
+    def transfer(self, seat: int, receiver: int) -> None:
         now = self.clock.monotonic()
         self.seats[seat] = receiver
         held = held_after_transfer(1, now, now, now)
@@ -72,7 +72,7 @@
         self.instances[index] = cap_states.admission("b1", self.clock)
         for seat, holder in self.seats.items():
             if holder == index:
-                self.hand_over(seat, index)
+                self.transfer(seat, index)
 
     def rename(self, cap: int) -> None:
         """Replace the shift by one of another name and cap."""
@@ -90,7 +90,7 @@
                 self.arrivals.append(self.clock.monotonic())
             self.instances[index].release(grant, _OK)
 
-    def play(self, steps) -> int:
+    def run(self, steps) -> int:
         """Run steps and return the number of arrivals over the cap."""
         self.publish()
         for kind, first, second in steps:
@@ -98,7 +98,7 @@
                 case "offer":
                     self.offer(first % 4, second)
                 case "hand":
-                    self.hand_over(first % cap_states.SEATS, second % 4)
+                    self.transfer(first % cap_states.SEATS, second % 4)
                 case "restart":
                     self.restart(first % 4)
                 case "wait":
@@ -128,14 +128,14 @@
     @given(st.integers(1, 30), _STEPS)
     def test_no_second_exceeds_the_cap(self, cap, steps):
         """Guards against transfers and restarts that use a portion twice."""
-        self.assertEqual(0, _Region(cap).play(steps))
+        self.assertEqual(0, _Region(cap).run(steps))
 
     def test_seat_that_opens_at_once_would_exceed_it(self):
         """Guards against a seat that opens within its last holder's window."""
-        self.assertGreater(_Region(6, opens_at_once=True).play(_HANDED), 0)
-        self.assertEqual(0, _Region(6).play(_HANDED))
+        self.assertGreater(_Region(6, opens_at_once=True).run(_HANDED), 0)
+        self.assertEqual(0, _Region(6).run(_HANDED))
 
-    @params((WindowLimiter, 0), (_Bucket, 9))
+    @params((WindowLimiter, 0), (_TokenBucket, 9))
     def test_burst_on_top_of_the_rate(self, limiter, over):
         """Guards against a token bucket.
 
--- a/tests/core/test_waiting.py
+++ b/tests/core/test_waiting.py
@@ -66,9 +66,11 @@
         self.assertGreaterEqual(len(granted), naive)
         self.assertEqual(min(slots, len(able)), len(granted))
         for name in "ab":
-            mine = [w for w in able if w.key[1] == name]
-            given_ = [w for w in mine if w.grant]
-            self.assertEqual(mine[: len(given_)], given_)
+            waiters_of_class = [w for w in able if w.key[1] == name]
+            granted_here = [w for w in waiters_of_class if w.grant]
+            self.assertEqual(
+                waiters_of_class[: len(granted_here)], granted_here
+            )
         counts = [sum(w.key[1] == name for w in granted) for name in "ab"]
         if abs(counts[0] - counts[1]) > 1:
             short = "ab"[counts[0] > counts[1]]
@@ -120,4 +122,4 @@
         for number in range(1000):
             table.watch(number, ("desk", "a"), "s1", 9.0)
             table.end(number)
-        self.assertLess(len(table._due), 100)
+        self.assertLess(len(table._due_times), 100)
--- a/tests/core/zones.py
+++ b/tests/core/zones.py
@@ -120,7 +120,7 @@
             deadline=self.clock.monotonic() + remaining_s,
         )
 
-    def take(self, request_class=READ, **fields):
+    def acquire(self, request_class=READ, **fields):
         """Return a grant, or None if the request is refused."""
         try:
             return self.admission.try_acquire(
@@ -129,10 +129,10 @@
         except ChiverunError:
             return None
 
-    def take_all(self, request_class=READ, **fields) -> list:
+    def acquire_all(self, request_class=READ, **fields) -> list:
         """Return grants of all free slots."""
         grants = []
-        while grant := self.take(request_class, **fields):
+        while grant := self.acquire(request_class, **fields):
             grants.append(grant)
         return grants
 
--- a/tests/runtime/test_entry_load.py
+++ b/tests/runtime/test_entry_load.py
@@ -85,11 +85,11 @@
     def test_expected_wait(self):
         """The wait grows with the queue; no server means no end of it."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        grant = zone.take()
+        grant = zone.acquire()
         zone.clock.advance(0.1)
         zone.admission.release(grant, OK)
         zone.publish()
-        zone.take()
+        zone.acquire()
         waits = []
         for _ in range(3):
             waits.append(zone.admission.expected_wait_s(zone.work()))
