--- a/chiverun/core/admission.py
+++ b/chiverun/core/admission.py
@@ -45,8 +45,8 @@
     from chiverun.core.clock import Clock
     from chiverun.core.snapshot import Snapshot
 
-# An older snapshot means that the control loop has not run: the process was
-# paused, and other instances may have claimed its seats.
+# Maximum age of a usable snapshot. If it is older, the control loop has not
+# run: the process was paused, and other instances may have claimed its seats.
 PAUSE_LIMIT_S = 2.0
 # Allowed clock difference between an instance and a backend server, which
 # enforces absolute deadlines.
--- a/chiverun/core/limits.py
+++ b/chiverun/core/limits.py
@@ -110,7 +110,7 @@
                 return 1.0
             return max(_WAIT_MIN_S, missing / self.bytes_per_s)
         if booking.size > self.bytes_per_s:
-            # A message is sent in one piece and may not exceed one second.
+            # The message is sent at once and exceeds the bytes of a second.
             return 1.0
         while self._sent and self._sent[0][0] <= now - BYTE_WINDOW_S:
             self._sent_bytes -= self._sent.popleft()[1]
--- a/chiverun/core/lookup.py
+++ b/chiverun/core/lookup.py
@@ -56,8 +56,8 @@
         zone = table.find(int(ipaddress.IPv4Address(remote)))
     except ValueError:
         return None
-    known = state.of(Zone).get(zone)
-    return known.region if known else None
+    row = state.of(Zone).get(zone)
+    return row.region if row else None
 
 
 def _bounds(block: str) -> tuple[int, int]:
@@ -111,8 +111,8 @@
 
 
 def _by_distance(snapshot: "Snapshot", zone: "ZoneName") -> list["ZoneView"]:
-    known = snapshot.state.of(Zone).get(zone)
-    region = known.region if known else None
+    row = snapshot.state.of(Zone).get(zone)
+    region = row.region if row else None
     views = snapshot.zones.values()
     return sorted(
         # If all zones are drained, return drained ones rather than none.
--- a/chiverun/core/membership.py
+++ b/chiverun/core/membership.py
@@ -26,11 +26,11 @@
 # Direct pings to a member that other instances have declared dead.
 DIRECT_PINGS = 3
 DIRECT_PING_PERIOD_S = 0.4
-ENDED_KEPT = 256
+ENDED_BOOTS_MAX = 256
 RELAYED_MAX = 256
 EXPIRE_PERIOD_S = 0.25
 # Maximum number of known instances of each other zone.
-REMOTE_PER_ZONE = 4
+REMOTE_PER_ZONE_MAX = 4
 # Dead rows are kept so that delayed adverts do not revive them, and so that
 # claimants still know the holders of seats.
 DEAD_KEPT_S = 600.0
@@ -47,7 +47,7 @@
 ) -> bool:
     """Merge an advert if it is newer; return whether it was merged.
 
-    At most `REMOTE_PER_ZONE` instances of each zone other than `zone` are
+    At most `REMOTE_PER_ZONE_MAX` instances of each zone other than `zone` are
     kept.
     """
     row = table.rows.get(advert.instance)
@@ -87,7 +87,7 @@
     if advert.zone == zone:
         return True
     rows = table.in_zone(advert.zone)
-    if len(rows) < REMOTE_PER_ZONE:
+    if len(rows) < REMOTE_PER_ZONE_MAX:
         return True
     oldest = min(rows, key=lambda m: m.measured_at)
     if now - oldest.measured_at < REMOTE_REPLACED_S:
@@ -239,9 +239,8 @@
 ) -> None:
     """Process an answer to this instance's ping `sequence`.
 
-    A process lifetime that was known at the sender's address before the ping
-    was sent, and is not the sender's, has ended. A dead member that answers
-    becomes a suspect.
+    A process with another boot ID, known at the sender's address before the
+    ping was sent, has ended. A dead member that answers becomes a suspect.
     """
     for row in list(table.rows.values()):
         if row.peer != sender.peer or row.boot_id is None:
@@ -263,9 +262,9 @@
 
 
 def record_ended(table: MemberTable, boot_id: BootId) -> None:
-    """Record a process lifetime that has ended."""
+    """Record the boot ID of a process that has ended."""
     table.ended[boot_id] = None
-    while len(table.ended) > ENDED_KEPT:
+    while len(table.ended) > ENDED_BOOTS_MAX:
         del table.ended[next(iter(table.ended))]
 
 
--- a/chiverun/core/seats.py
+++ b/chiverun/core/seats.py
@@ -116,8 +116,10 @@
     table: SeatTable, seat: SeatIndex, holder: SeatHolder
 ) -> bool:
     """Store a seat's holder if it is newer; return whether it was stored."""
-    known = table.known_holders.get(seat)
-    if not 0 <= seat < SEATS_MAX or (known is not None and holder <= known):
+    current = table.known_holders.get(seat)
+    if not 0 <= seat < SEATS_MAX or (
+        current is not None and holder <= current
+    ):
         return False
     table.known_holders[seat] = holder
     table.digest = None
@@ -172,7 +174,7 @@
 def ended_lives(
     members: MemberTable, zone: ZoneName, now: float
 ) -> frozenset[BootId]:
-    """Return process lifetimes that have ended or count as dead.
+    """Return the boot IDs of processes that have ended or count as dead.
 
     A member that others have declared dead counts only if this instance's
     own pings to it have not been answered either.
@@ -196,8 +198,8 @@
 ) -> list[Claim]:
     """Return the seats to claim, given the store's record.
 
-    Seats that the record assigns to the claimant's own process lifetime are
-    claimed even above the share, since no other instance may claim them.
+    Seats that the record assigns to the claimant's own process are claimed
+    even above the share, since no other instance may claim them.
 
     Parameters
     ----------
@@ -336,8 +338,8 @@
 
 
 def _seat_count(state: "State", zone: ZoneName) -> int:
-    known = state.of(Zone).get(zone)
-    return known.seats if known is not None else 0
+    row = state.of(Zone).get(zone)
+    return row.seats if row is not None else 0
 
 
 def _long_slots(state: "State") -> dict[str, int]:
--- a/chiverun/core/shift.py
+++ b/chiverun/core/shift.py
@@ -27,8 +27,8 @@
 TARGETS_PER_REQUEST = 2
 # The first step is a part of the target fraction; each later step multiplies
 # the current fraction.
-FIRST_STEP = 0.1
-STEP_GROWTH = 2.0
+FIRST_STEP_SHARE = 0.1
+STEP_FACTOR = 2.0
 # Maximum age of a measurement that allows growth.
 MEASUREMENT_MAX_AGE_S = 3.0
 
@@ -118,7 +118,9 @@
         progress.shift.warm_s
     ):
         return
-    step = max(progress.fraction * STEP_GROWTH, target_fraction * FIRST_STEP)
+    step = max(
+        progress.fraction * STEP_FACTOR, target_fraction * FIRST_STEP_SHARE
+    )
     progress.fraction = min(target_fraction, step)
     progress.grown_at = now
 
--- a/chiverun/core/slots.py
+++ b/chiverun/core/slots.py
@@ -81,6 +81,7 @@
 class ServerSlots:
     """This instance's slots of one server.
 
+    `capacity` is the number of slots that belong to held seats.
     `in_flight` counts used and occupied slots of all seats, including seats
     that are no longer held. `overdue` counts slots of short requests that
     have run so long that they count as long ones.
--- a/chiverun/core/tables.py
+++ b/chiverun/core/tables.py
@@ -71,9 +71,9 @@
 class MemberTable:
     """Known instances, excluding this one, and the state of their probes.
 
-    `ended` are process lifetimes known to have ended, since another lifetime
-    has answered a later ping to their address. `version` changes with every
-    change that look-ups must reflect at once.
+    `ended` has the boot IDs of processes known to have ended, since a process
+    with another boot ID has answered a later ping to their address. `version`
+    changes with every change that look-ups must reflect at once.
     """
 
     rows: dict[InstanceId, Member] = dataclasses.field(default_factory=dict)
@@ -102,8 +102,8 @@
 
     def add(self, row: Member) -> None:
         """Add a row, or move it to its current zone."""
-        known = self.rows.get(row.instance)
-        if known is not None:
+        current = self.rows.get(row.instance)
+        if current is not None:
             self.remove(row.instance)
         self.rows[row.instance] = row
         self.by_zone.setdefault(row.zone, {})[row.instance] = row
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -62,9 +62,9 @@
     @given(
         st.lists(
             st.one_of(
-                st.tuples(st.just("take"), st.sampled_from([READ, EXPORT])),
+                st.tuples(st.just("acquire"), st.sampled_from([READ, EXPORT])),
                 st.tuples(st.just("end"), st.integers(0, 20)),
-                st.tuples(st.just("move"), st.integers(0, 15)),
+                st.tuples(st.just("transfer"), st.integers(0, 15)),
                 st.tuples(st.just("wait"), st.sampled_from([0.1, 1.0, 3.0])),
             ),
             max_size=60,
@@ -94,7 +94,7 @@
         live: list = []
         for step, value in steps:
             zone = zones[len(live) % 2]
-            if step == "take":
+            if step == "acquire":
                 grant = zone.acquire(value)
                 if grant is not None:
                     live.append([grant, None, zone])
@@ -102,7 +102,7 @@
                     self._check_refusal(zone, live)
             elif step == "end" and live:
                 self._end(live[value % len(live)], _ENDS[value % 4])
-            elif step == "move":
+            elif step == "transfer":
                 self._transfer(zones, value)
             elif step == "wait":
                 for each in zones:
@@ -406,12 +406,12 @@
         """Guards against an overdue short class that fills all slots."""
         zone = Zoned(state(*[server(f"s{i}", long_slots=0) for i in "1234"]))
         _record_samples(zone, READ, 0.01)
-        stuck = [zone.acquire() for _ in range(4)]
+        overdue = [zone.acquire() for _ in range(4)]
         zone.advance(0.5)
         more = zone.acquire_all()
         self.assertEqual(8, len(more))
         self.assertEqual(4, len(zone.acquire_all(BOOK)))
-        for grant in stuck + more:
+        for grant in overdue + more:
             zone.admission.release(grant, OK)
         zone.advance(2.0)
         self.assertIsNotNone(zone.acquire())
--- a/tests/core/test_limits.py
+++ b/tests/core/test_limits.py
@@ -136,14 +136,14 @@
     def test_window_limiter_matches_a_plain_count(self, gaps, cap):
         """Compares the limiter with a full list of admissions."""
         limiter = WindowLimiter(cap=cap, window_s=1.0)
-        taken: list[float] = []
+        admission_times: list[float] = []
         now = 0.0
         for gap in gaps:
             now += gap
-            expected = sum(1 for t in taken if t > now - 1.0) < cap
+            expected = sum(1 for t in admission_times if t > now - 1.0) < cap
             self.assertEqual(expected, limiter.try_consume(now))
             if expected:
-                taken.append(now)
+                admission_times.append(now)
 
 
 class LinksTest(unittest.TestCase):
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -83,16 +83,19 @@
         self.assertIs(MemberState.SUSPECT, table.rows["b"].state)
 
     @params(
-        ("same life", "b-1", 5, False),
-        ("other life, ping sent before it was known", "b-2", 3, False),
-        ("other life", "b-2", 5, True),
+        ("same boot ID", "b-1", 5, False),
+        (
+            "other boot ID, ping sent before the first was known",
+            "b-2",
+            3,
+            False,
+        ),
+        ("other boot ID", "b-2", 5, True),
     )
-    def test_end_of_a_lifetime(
-        self, name, boot_id, sequence, is_ended
-    ) -> None:
-        """Guards against ending a lifetime without proof.
+    def test_end_of_a_process(self, name, boot_id, sequence, is_ended) -> None:
+        """Guards against taking a live process for ended.
 
-        Only an answer of another lifetime from the same address, to a ping
+        Only an answer with another boot ID from the same address, to a ping
         sent later, proves that a process has ended.
         """
         table = _table()
@@ -118,11 +121,11 @@
         for number in range(72 * 67):
             advert = _advert(f"r{number}", zone=f"zone-{number % 72}")
             membership.merge_advert(table, advert, _ZONE, 0.0)
-        self.assertEqual(72 * membership.REMOTE_PER_ZONE, len(table.rows))
+        self.assertEqual(72 * membership.REMOTE_PER_ZONE_MAX, len(table.rows))
         newer = _advert("newer", zone="zone-0")
         self.assertFalse(membership.merge_advert(table, newer, _ZONE, 1.0))
         self.assertTrue(membership.merge_advert(table, newer, _ZONE, 11.0))
-        self.assertEqual(72 * membership.REMOTE_PER_ZONE, len(table.rows))
-        for number in range(2 * membership.ENDED_KEPT):
-            membership.record_ended(table, f"life-{number}")
-        self.assertEqual(membership.ENDED_KEPT, len(table.ended))
+        self.assertEqual(72 * membership.REMOTE_PER_ZONE_MAX, len(table.rows))
+        for number in range(2 * membership.ENDED_BOOTS_MAX):
+            membership.record_ended(table, f"boot-{number}")
+        self.assertEqual(membership.ENDED_BOOTS_MAX, len(table.ended))
--- a/tests/core/test_sendbudget.py
+++ b/tests/core/test_sendbudget.py
@@ -15,7 +15,10 @@
 class SendBudgetTest(unittest.TestCase):
     @params(1, 8, 78)
     def test_sum_over_machines_stays_below_the_bound(self, machines) -> None:
-        # Guards against a sum above the limit if all machines use their part.
+        """Guards against a sum above the limit if all machines use their part.
+
+        The limit must hold in any window.
+        """
         rng = random.Random(machines)
         budgets = [SendBudget(bounds=_BOUNDS) for _ in range(machines)]
         requests: list[float] = []
@@ -32,10 +35,10 @@
             asked = [t for t in requests if end - 10 < t <= end]
             self.assertLessEqual(len(in_window), 0.2 * len(asked) + 56.0)
 
-    def test_a_partition_does_not_raise_the_part(self) -> None:
+    def test_partition_does_not_raise_the_part(self) -> None:
         budget = SendBudget(bounds=_BOUNDS)
-        taken = sum(budget.try_consume(1.0, 8) for _ in range(100))
-        self.assertLessEqual(taken, 56 // 8)
+        admitted = sum(budget.try_consume(1.0, 8) for _ in range(100))
+        self.assertLessEqual(admitted, 56 // 8)
 
 
 class ColdLimitTest(unittest.TestCase):
--- a/tests/core/test_shift.py
+++ b/tests/core/test_shift.py
@@ -99,7 +99,7 @@
     def test_portions_add_up_and_none_is_zero(self, cap):
         """Guards against offers to instances without a portion of the cap.
 
-        With a cap of 1, only one of four instances has a portion.
+        With a cap of 1 only one of four instances has a portion.
         """
         targets = _targets(cap_states.shift(cap_per_s=cap))
         self.assertEqual(cap, sum(t.portion for t in targets))
--- a/tests/core/test_waiting.py
+++ b/tests/core/test_waiting.py
@@ -13,7 +13,7 @@
 from chiverun.core.waiting import Waiter
 from chiverun.core.waiting import WaitQueues
 
-_REFUSED = ChiverunError(ResultCode.SHIFT_CAP, "refused")
+_REJECTED = ChiverunError(ResultCode.SHIFT_CAP, "rejected")
 _LATE = ChiverunError(ResultCode.DEADLINE_UNREACHABLE, "late")
 
 
@@ -23,7 +23,7 @@
         st.lists(
             st.tuples(
                 st.sampled_from("ab"),
-                st.sampled_from(["", "", "", "excluded", "refused", "late"]),
+                st.sampled_from(["", "", "", "excluded", "rejected", "late"]),
             ),
             max_size=30,
         ),
@@ -50,8 +50,8 @@
         left = [slots]
 
         def grant(waiter):
-            if waiter.work == "refused":
-                raise _REFUSED
+            if waiter.work == "rejected":
+                raise _REJECTED
             if waiter.work == "excluded" or not left[0]:
                 return None
             left[0] -= 1
@@ -111,9 +111,9 @@
             elif step == "wait":
                 now += value
             counted += len(table.advance(now))
-            plain = sum(due <= now for due in live.values())
-            self.assertEqual(plain, counted)
-            if plain >= SUSPECT_MIN:
+            expected = sum(due <= now for due in live.values())
+            self.assertEqual(expected, counted)
+            if expected >= SUSPECT_MIN:
                 self.assertTrue(table.is_suspect(("desk", "a"), 10, now))
 
     def test_ended_requests_are_forgotten(self):
--- a/tests/core/zones.py
+++ b/tests/core/zones.py
@@ -121,7 +121,7 @@
         )
 
     def acquire(self, request_class=READ, **fields):
-        """Return a grant, or None if the request is refused."""
+        """Return a grant, or None if the request is rejected."""
         try:
             return self.admission.try_acquire(
                 self.work(request_class, **fields)
