--- a/chiverun/core/choice.py
+++ b/chiverun/core/choice.py
@@ -15,53 +15,53 @@
 from chiverun.core.slots import NameSet
 from chiverun.core.slots import ServerSlots
 
-# Draws before all servers with a free slot are looked at.
-DRAWS_MAX = 8
-# Aged slowness at which a request that cannot be hedged probes as well, for
-# services that have no others.
-PROBE_ANYWAY = 1.5
+# Random draws before all servers with a free slot are scanned.
+RANDOM_DRAWS_MAX = 8
+# Aged slowness below which a request that cannot be hedged may also probe a
+# server, for services without repeatable requests.
+UNHEDGED_PROBE_SLOWNESS_MAX = 1.5
 
-Lookup = Callable[[ServerName], tuple[ServerHealth, ServerSlots]]
-Fits = Callable[[ServerName], bool]
+ServerLookup = Callable[[ServerName], tuple[ServerHealth, ServerSlots]]
+ServerFilter = Callable[[ServerName], bool]
 
 
 def choose(
     free: NameSet,
     members: Sequence[ServerName],
-    lookup: Lookup,
-    fits: Fits,
+    lookup: ServerLookup,
+    is_allowed: ServerFilter,
     now: float,
     rng: random.Random,
     *,
     may_probe: bool = True,
 ) -> ServerName | None:
-    """Choose a server: power of two choices by expected latency.
+    """Choose a server by the power of two choices.
 
     Parameters
     ----------
     free : NameSet
         Servers with a free slot for the request.
     members : Sequence[ServerName]
-        All servers of the service that have slots here.
+        All servers of the service with slots of this instance.
     lookup : Callable
-        Gives a server's health and slots.
+        Returns a server's health and slots.
     fits : Callable
-        Tells whether the request may go to a server at all: never to one
-        that is drained, excluded or whose remaining slots are kept free.
+        Returns whether the request may go to a server at all: false for
+        servers that drain, are excluded or must keep their last slots free.
     now : float
         Monotonic seconds.
     rng : random.Random
     may_probe : bool
-        Whether the request may probe a slow server. One that may be hedged
-        loses little by it.
+        Whether the request may probe a slow server. A request that may be
+        hedged loses little time.
     """
     first: ServerName | None = None
-    draws = DRAWS_MAX if len(free) else 0
+    draws = RANDOM_DRAWS_MAX if len(free) else 0
     for _ in range(draws):
         name = free.draw(rng)
         if name == first or not _may_start(lookup, name, now, may_probe):
             continue
-        if not fits(name):
+        if not is_allowed(name):
             continue
         if first is None:
             first = name
@@ -69,34 +69,34 @@
         return min(
             first, name, key=lambda n: expected_slowness(lookup, n, now)
         )
-    return _scan(free, members, lookup, fits, now, rng, may_probe)
+    return _scan(free, members, lookup, is_allowed, now, rng, may_probe)
 
 
 def _scan(
     free: NameSet,
     members: Sequence[ServerName],
-    lookup: Lookup,
-    fits: Fits,
+    lookup: ServerLookup,
+    is_allowed: ServerFilter,
     now: float,
     rng: random.Random,
     may_probe: bool,
 ) -> ServerName | None:
-    """Look at all servers with a free slot.
+    """Choose among all servers with a free slot.
 
-    Slow servers are left out only while there is another server to wait
-    for; a wrong ejection of all must not stop a service, so one request at
-    a time is then tried on an ejected server.
+    Slow servers are skipped only while the service has a normal server to
+    wait for. Otherwise ejected servers get one request at a time, so that a
+    wrong ejection of all servers does not stop a service.
     """
-    fitting = [name for name in free.names if fits(name)]
+    allowed = [name for name in free.names if is_allowed(name)]
     usable = [
-        name for name in fitting if _may_start(lookup, name, now, may_probe)
+        name for name in allowed if _may_start(lookup, name, now, may_probe)
     ]
     if not usable and not any(_is_normal(lookup, n, now) for n in members):
         usable = [
             name
-            for name in fitting
+            for name in allowed
             if eligibility(lookup(name)[0], now) is Eligibility.OPEN
-        ] or [name for name in fitting if _may_try(lookup, name, now)]
+        ] or [name for name in allowed if _may_try_ejected(lookup, name, now)]
     if len(usable) > 2:
         usable = rng.sample(usable, 2)
     return min(
@@ -106,33 +106,37 @@
     )
 
 
-def expected_slowness(lookup: Lookup, name: ServerName, now: float) -> float:
-    """Return the aged slowness, raised by the requests in flight."""
+def expected_slowness(
+    lookup: ServerLookup, name: ServerName, now: float
+) -> float:
+    """Return the aged slowness, scaled by the requests in flight."""
     health, slots = lookup(name)
-    load = slots.in_flight / max(1, slots.mine)
+    load = slots.in_flight / max(1, slots.capacity)
     return aged_slowness(health, now) * (1.0 + load)
 
 
-def _is_normal(lookup: Lookup, name: ServerName, now: float) -> bool:
+def _is_normal(lookup: ServerLookup, name: ServerName, now: float) -> bool:
     health, _ = lookup(name)
     return eligibility(health, now) is Eligibility.OPEN and not is_slow(health)
 
 
-def _may_try(lookup: Lookup, name: ServerName, now: float) -> bool:
+def _may_try_ejected(
+    lookup: ServerLookup, name: ServerName, now: float
+) -> bool:
     health, slots = lookup(name)
     is_ejected = eligibility(health, now) is Eligibility.EJECTED
     return is_ejected and slots.in_flight == 0
 
 
 def _may_start(
-    lookup: Lookup, name: ServerName, now: float, may_probe: bool
+    lookup: ServerLookup, name: ServerName, now: float, may_probe: bool
 ) -> bool:
     health, slots = lookup(name)
     if eligibility(health, now) is not Eligibility.OPEN:
         return False
     if is_slow(health):
-        # One probe once the estimate has aged.
-        limit = SLOW_FACTOR if may_probe else PROBE_ANYWAY
+        # A single probe is allowed once the estimate has decayed.
+        limit = SLOW_FACTOR if may_probe else UNHEDGED_PROBE_SLOWNESS_MAX
         return slots.in_flight == 0 and aged_slowness(health, now) <= limit
     share = slow_start_share(health, now)
-    return slots.in_flight < max(1.0, share * slots.mine)
+    return slots.in_flight < max(1.0, share * slots.capacity)
--- a/chiverun/core/healthtable.py
+++ b/chiverun/core/healthtable.py
@@ -1,11 +1,11 @@
-"""Health rows of the backend servers of a zone."""
+"""Health of the backend servers of a zone."""
 
 from typing import TYPE_CHECKING
 
 from chiverun.core.health import Eligibility
 from chiverun.core.health import eligibility
-from chiverun.core.health import note_returned
 from chiverun.core.health import ServerHealth
+from chiverun.core.health import start_slow_start
 from chiverun.core.ids import ServerName
 from chiverun.core.ticket import Server
 from chiverun.core.ticket import ServerState
@@ -15,16 +15,17 @@
 
 
 class HealthTable(dict[ServerName, ServerHealth]):
-    """Rows by server name."""
+    """Health rows by server name."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._out: frozenset[ServerName] = frozenset()
+        self._draining: frozenset[ServerName] = frozenset()
 
     def rebuild(self, servers: list[Server], now: float) -> None:
-        """Keep the rows of known servers; start new ones slowly.
+        """Keep the rows of known servers; new servers get a slow start.
 
-        The servers of a new instance are new to it and not cold.
+        The servers that a starting instance finds are not cold, so they get
+        none.
         """
         old = dict(self)
         is_running = any(row.samples for row in old.values())
@@ -37,20 +38,20 @@
                     row.returned_at = now
             self[server.name] = row
 
-    def note_returned(self, snapshot: "Snapshot", now: float) -> None:
-        """Begin the slow start of servers that no longer drain."""
+    def start_slow_start(self, snapshot: "Snapshot", now: float) -> None:
+        """Start the slow start of servers that no longer drain."""
         leaving = snapshot.leaving_servers
         servers = snapshot.state.of(Server)
-        out = frozenset(
+        draining_names = frozenset(
             name
             for name in self
             if name in leaving or servers[name].state is ServerState.DRAIN
         )
-        note_returned(self, self._out - out, now)
-        self._out = out
+        start_slow_start(self, self._draining - draining_names, now)
+        self._draining = draining_names
 
     def draining(self, now: float) -> frozenset[ServerName]:
-        """Return the servers that said that they are leaving."""
+        """Return the servers that have announced that they are draining."""
         return frozenset(
             name
             for name, row in self.items()
@@ -60,7 +61,7 @@
     def may_use(
         self, snapshot: "Snapshot", name: ServerName, now: float
     ) -> bool:
-        """Tell whether a server may get requests."""
+        """Return whether a server may receive requests."""
         current = snapshot.state.of(Server).get(name)
         return (
             current is not None
--- a/chiverun/core/membership.py
+++ b/chiverun/core/membership.py
@@ -1,8 +1,8 @@
 """SWIM failure detection within a zone, as functions over the member table.
 
-After Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent
-Infection-style Process Group Membership Protocol" (DSN 2002): the load of an
-instance does not grow with the size of the zone.
+The protocol follows Das, Gupta and Motivala, "SWIM: Scalable
+Weakly-consistent Infection-style Process Group Membership Protocol" (DSN
+2002). The load of an instance does not grow with the size of the zone.
 """
 
 import math
@@ -23,20 +23,20 @@
 INDIRECT_AFTER_S = 0.35
 INDIRECT_PROBES = 2
 SUSPECT_S = 4.0
-# Pings of this instance's own to a member that others declared dead.
-CHECKS = 3
-CHECK_PERIOD_S = 0.4
-ENDED_KEPT = 256
+# Direct pings to a member that other instances have declared dead.
+DIRECT_PINGS = 3
+DIRECT_PING_PERIOD_S = 0.4
+ENDED_BOOTS_MAX = 256
 RELAYED_MAX = 256
 EXPIRE_PERIOD_S = 0.25
-# Instances known of each other zone.
-REMOTE_PER_ZONE = 4
-# Dead rows are kept so that late adverts do not bring them back, and so that
-# holders of seats stay known to claimants.
+# Maximum number of known instances of each other zone.
+REMOTE_PER_ZONE_MAX = 4
+# Dead rows are kept so that delayed adverts do not revive them, and so that
+# claimants still know the holders of seats.
 DEAD_KEPT_S = 600.0
-# Rows of other zones are dropped when nothing is heard of them.
+# Rows of other zones without a newer advert are removed after this time.
 REMOTE_KEPT_S = 60.0
-# Rows of other zones older than this give way to newly heard instances.
+# Rows of other zones older than this may be replaced by new instances.
 REMOTE_REPLACED_S = 10.0
 UPDATE_SENDS_FACTOR = 3
 UPDATES_PER_MESSAGE = 6
@@ -45,13 +45,14 @@
 def merge_advert(
     table: MemberTable, advert: Advert, zone: ZoneName, now: float
 ) -> bool:
-    """Take over an advert if it is newer; return whether it was.
+    """Merge an advert if it is newer; return whether it was merged.
 
-    Of each other zone than `zone` only a few instances are kept.
+    At most `REMOTE_PER_ZONE_MAX` instances of each zone other than `zone` are
+    kept.
     """
     row = table.rows.get(advert.instance)
     if row is None:
-        if not _has_room(table, advert, zone, now):
+        if not _make_space(table, advert, zone, now):
             return False
         row = Member(
             instance=advert.instance,
@@ -80,13 +81,13 @@
     return True
 
 
-def _has_room(
+def _make_space(
     table: MemberTable, advert: Advert, zone: ZoneName, now: float
 ) -> bool:
     if advert.zone == zone:
         return True
     rows = table.in_zone(advert.zone)
-    if len(rows) < REMOTE_PER_ZONE:
+    if len(rows) < REMOTE_PER_ZONE_MAX:
         return True
     oldest = min(rows, key=lambda m: m.measured_at)
     if now - oldest.measured_at < REMOTE_REPLACED_S:
@@ -100,7 +101,7 @@
 
 
 def merge_update(table: MemberTable, update: MemberUpdate, now: float) -> bool:
-    """Take over a member update; return whether it changed a row."""
+    """Merge a member update; return whether it changed a row."""
     row = table.rows.get(update.instance)
     if row is None or not _overrides(update, row):
         return False
@@ -145,10 +146,10 @@
 def next_updates(
     table: MemberTable, about: InstanceId | None = None
 ) -> tuple[MemberUpdate, ...]:
-    """Return the updates for a message, least often sent first.
+    """Return the updates for the next message, least often sent first.
 
     An update about the receiver itself is always included, so that a live
-    member that is taken for dead can refute it.
+    member can refute its suspicion or death.
     """
     pending = sorted(table.updates.values(), key=lambda p: -p.sends_left)
     chosen = pending[:UPDATES_PER_MESSAGE]
@@ -172,13 +173,13 @@
 def next_probe(
     table: MemberTable, zone: ZoneName, now: float, rng: random.Random
 ) -> Member | None:
-    """Start the next period: judge the last probe and choose a target.
+    """Start the next period: evaluate the last probe and choose a target.
 
-    Targets are taken in a shuffled order, so that each member is probed
-    within one round. Dead members are probed too: it costs one message a
-    round and finds those that were cut off.
+    Targets follow a shuffled order, so each member is probed once a round.
+    Dead members are probed as well: one message a round detects those that
+    were only partitioned.
     """
-    _judge_probe(table, now)
+    _evaluate_probe(table, now)
     while True:
         if not table.probe_order:
             table.probe_order = [m.instance for m in table.in_zone(zone)]
@@ -195,7 +196,7 @@
     return row
 
 
-def _judge_probe(table: MemberTable, now: float) -> None:
+def _evaluate_probe(table: MemberTable, now: float) -> None:
     probe = table.probe
     table.probe = None
     if probe is None or probe.is_acked:
@@ -206,10 +207,9 @@
 
 
 def reset_failure_detection(table: MemberTable, now: float) -> None:
-    """Begin anew to wait for answers after a pause of this process.
+    """Restart the suspicion timers after a pause of this process.
 
-    The silence of others while this process could not hear them proves
-    nothing.
+    Missing answers while this process was paused are no sign of a failure.
     """
     table.probe = None
     for row in table.rows.values():
@@ -220,13 +220,13 @@
 def members_to_check(
     table: MemberTable, zone: ZoneName, now: float
 ) -> list[Member]:
-    """Return dead members to ping before their seats may be claimed."""
+    """Return the dead members to ping before their seats may be claimed."""
     due = [
         m
         for m in table.in_zone(zone)
         if m.state is MemberState.DEAD
-        and m.checks < CHECKS
-        and now - m.checked_at >= CHECK_PERIOD_S
+        and m.checks < DIRECT_PINGS
+        and now - m.checked_at >= DIRECT_PING_PERIOD_S
     ]
     for row in due:
         row.checks += 1
@@ -237,40 +237,39 @@
 def record_ack(
     table: MemberTable, sender: Advert, sequence: int, now: float
 ) -> None:
-    """Draw conclusions from an answer to this instance's ping `sequence`.
+    """Process an answer to this instance's ping `sequence`.
 
-    A lifetime that was known at the sender's address before the ping was
-    sent, and is not the sender's, has ended. A dead member that answers is
-    a suspect again.
+    A process with another boot ID, known at the sender's address before the
+    ping was sent, has ended. A dead member that answers becomes a suspect.
     """
     for row in list(table.rows.values()):
         if row.peer != sender.peer or row.boot_id is None:
             continue
         if row.boot_id != sender.boot_id:
             if row.noted_sequence < sequence:
-                note_ended(table, row.boot_id)
+                record_ended(table, row.boot_id)
                 if row.advert is None:
                     table.remove(row.instance)
             continue
-        _note_alive(row, now)
+        _record_alive(row, now)
 
 
-def _note_alive(row: Member, now: float) -> None:
+def _record_alive(row: Member, now: float) -> None:
     row.acked_at = now
     if row.state is MemberState.DEAD:
         row.state = MemberState.SUSPECT
         row.state_since = now
 
 
-def note_ended(table: MemberTable, boot_id: BootId) -> None:
-    """Keep a lifetime that has provably ended."""
+def record_ended(table: MemberTable, boot_id: BootId) -> None:
+    """Record the boot ID of a process that has ended."""
     table.ended[boot_id] = None
-    while len(table.ended) > ENDED_KEPT:
+    while len(table.ended) > ENDED_BOOTS_MAX:
         del table.ended[next(iter(table.ended))]
 
 
 def needs_indirect(table: MemberTable, now: float) -> bool:
-    """Tell whether to ask others to probe the target, and note it."""
+    """Return whether to start indirect probes; true once a period."""
     probe = table.probe
     if probe is None or probe.is_acked or probe.is_indirect:
         return False
@@ -283,7 +282,7 @@
 def indirect_helpers(
     table: MemberTable, zone: ZoneName, rng: random.Random
 ) -> list[Member]:
-    """Choose the members that are asked to probe the target."""
+    """Choose the members that send indirect probes to the target."""
     target = table.probe.target if table.probe else None
     others = [
         m
@@ -296,18 +295,18 @@
 
 
 def acknowledge(table: MemberTable, sequence: int, now: float) -> None:
-    """Note the acknowledgement of a probe."""
+    """Process the acknowledgement of a probe."""
     probe = table.probe
     if probe is None or probe.sequence != sequence:
         return
     probe.is_acked = True
     row = table.rows.get(probe.target)
     if row is not None:
-        _note_alive(row, now)
+        _record_alive(row, now)
 
 
 def expire(table: MemberTable, zone: ZoneName, now: float) -> None:
-    """Declare old suspects dead and drop rows that are of no more use."""
+    """Declare expired suspects dead and remove obsolete rows."""
     if now - table.expired_at < EXPIRE_PERIOD_S:
         return
     table.expired_at = now
--- a/chiverun/core/seats.py
+++ b/chiverun/core/seats.py
@@ -1,8 +1,8 @@
 """Claim, transfer and suspension of seats.
 
-A seat is the right to a share of a zone's slots. These functions decide; the
-store's record of a zone's seats is changed by compare-and-swap in
-`runtime.storeworker`.
+A seat is the right to a share of a zone's slots. The functions here only make
+decisions; `runtime.storeworker` updates the store's record of a zone's seats
+by compare-and-swap.
 """
 
 import dataclasses
@@ -19,7 +19,7 @@
 from chiverun.core.ids import BootId
 from chiverun.core.ids import SeatIndex
 from chiverun.core.ids import ZoneName
-from chiverun.core.membership import CHECKS
+from chiverun.core.membership import DIRECT_PINGS
 from chiverun.core.membership import SUSPECT_S
 from chiverun.core.messages import MemberState
 from chiverun.core.messages import SeatHolderRecord
@@ -27,7 +27,7 @@
 from chiverun.core.tables import Held
 from chiverun.core.tables import Member
 from chiverun.core.tables import MemberTable
-from chiverun.core.tables import OldClasses
+from chiverun.core.tables import OldDeadlines
 from chiverun.core.tables import Owner
 from chiverun.core.tables import SeatHolder
 from chiverun.core.tables import SeatTable
@@ -42,51 +42,51 @@
 CLAIM_PERIOD_S = 1.0
 REQUEST_PERIOD_S = 1.0
 TRANSFER_RESEND_S = 0.5
-# A transfer that was queued for longer is refused: its sender may have been
-# paused, and the seat claimed, before it reached the network.
+# A transfer that was queued for longer is rejected: its sender may have been
+# paused, and the seat claimed, before the message reached the network.
 TRANSFER_AGE_MAX_S = 2.0
-# A claimant waits this long after a holder was declared dead, on top of the
-# time of the detection itself.
+# Wait of a claimant after a holder has been declared dead, in addition to
+# the detection time.
 DEAD_BEFORE_CLAIM_S = 1.0
-# Time for a live holder that was wrongly taken for dead to hear of a claim.
+# Time for a live holder, wrongly declared dead, to learn of a claim.
 NEWS_MARGIN_S = 2.0
 LISTEN_S = 3.0
-# Time that a live instance has to take a seat that was handed to it before
-# another may claim the seat.
+# Time for a live instance to accept a seat transferred to it, before other
+# instances may claim the seat.
 UNCOVERED_S = 10.0
-# A claim raises the epoch by more than the transfers that a live holder,
-# wrongly taken for dead, can make before it hears of the claim, so that the
-# claim is later than all of them.
+# A claim raises the epoch by more than the number of transfers that a live
+# holder, wrongly declared dead, can make before it learns of the claim. The
+# claim thus has a higher epoch than all of them.
 CLAIM_EPOCHS = 64
-# Bounds the marks that messages can create.
+# Limits the table entries that messages can create.
 SEATS_MAX = 4096
-OLD_CLASSES_MAX = 32
+OLD_DEADLINES_MAX = 32
 
 
 class SeatRecord(msgspec.Struct, frozen=True, kw_only=True):
     """The store's record of a zone's seats; a missing seat has no owner.
 
-    `epochs` keeps the last epoch of seats that were given up.
+    `epochs` holds the last epoch of seats that have been released.
     """
 
     owners: dict[SeatIndex, Owner] = {}
     epochs: dict[SeatIndex, int] = {}
 
     def epoch(self, seat: SeatIndex) -> int:
-        """Return the last epoch of a seat, 0 if it was never held."""
+        """Return the last epoch of a seat; 0 if it has never been held."""
         owner = self.owners.get(seat)
         return max(self.epochs.get(seat, 0), owner.epoch if owner else 0)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ClaimPlan:
-    """What a claimant asks the store worker to claim.
+    """Input of a claim by the store worker.
 
-    `ended` are process lifetimes that take no more requests. `known_holders`
-    are the latest holders of the seats, which the record may not show yet;
-    `overdue` seats have been without a holder for `UNCOVERED_S`. Of `live`
-    instances this one has the rank `rank`; it prefers every `live`-th seat,
-    since neighbouring seats share the slots of one server.
+    `ended` are processes that accept no more requests. `known_holders` are
+    the latest holders of the seats, which the record may not contain yet.
+    `overdue` are seats without a holder for `UNCOVERED_S`. This instance has
+    rank `rank` among `live` instances and prefers every `live`-th seat, since
+    adjacent seats share the slots of a server.
     """
 
     missing: frozenset[SeatIndex]
@@ -100,7 +100,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Claim:
-    """A seat to claim; `was_used` tells whether work may still run on it."""
+    """A seat to claim; `was_used` if requests may still run on its slots."""
 
     seat: SeatIndex
     epoch: int
@@ -108,22 +108,26 @@
 
 
 def share(seats: int, live: int) -> int:
-    """Return the most seats that one of `live` instances should hold."""
+    """Return the maximum number of seats for each of `live` instances."""
     return math.ceil(seats / max(1, live))
 
 
-def record_holder(table: SeatTable, seat: SeatIndex, mark: SeatHolder) -> bool:
-    """Take over a mark; return whether it is later than the known one."""
-    known = table.known_holders.get(seat)
-    if not 0 <= seat < SEATS_MAX or (known is not None and mark <= known):
+def record_holder(
+    table: SeatTable, seat: SeatIndex, holder: SeatHolder
+) -> bool:
+    """Store a seat's holder if it is newer; return whether it was stored."""
+    current = table.known_holders.get(seat)
+    if not 0 <= seat < SEATS_MAX or (
+        current is not None and holder <= current
+    ):
         return False
-    table.known_holders[seat] = mark
+    table.known_holders[seat] = holder
     table.digest = None
     return True
 
 
 def holders_digest(table: SeatTable) -> int:
-    """Return a hash of the marks, 0 if there are none."""
+    """Return a hash of the known holders; 0 if there are none."""
     if table.digest is None:
         known_holders = sorted(
             (s, m.epoch, m.boot_id) for s, m in table.known_holders.items()
@@ -136,7 +140,7 @@
 def newer_holders(
     table: SeatTable, known_holders: Iterable[SeatHolderRecord]
 ) -> tuple[SeatHolderRecord, ...]:
-    """Return the known marks that are later than the given ones."""
+    """Return the known holders that are newer than the given ones."""
     return tuple(
         SeatHolderRecord(seat=m.seat, epoch=known.epoch, boot_id=known.boot_id)
         for m in known_holders
@@ -146,11 +150,11 @@
 
 
 def lost_seats(table: SeatTable, boot_id: BootId) -> set[SeatIndex]:
-    """Return the seats held or being released that a later holder has."""
-    mine = {**table.releasing, **table.held}
+    """Return held or releasing seats that have a later holder."""
+    own_seats = {**table.releasing, **table.held}
     return {
         seat
-        for seat, held in mine.items()
+        for seat, held in own_seats.items()
         if seat in table.known_holders
         and table.known_holders[seat] > SeatHolder(held.epoch, boot_id)
     }
@@ -159,7 +163,7 @@
 def covered_seats(
     table: SeatTable, members: MemberTable, zone: ZoneName
 ) -> set[SeatIndex]:
-    """Return the seats that a live instance holds or is handing over."""
+    """Return the seats that live instances hold or are transferring."""
     covered = set(table.held) | set(table.releasing) | set(table.transfers)
     for row in members.live_in_zone(zone):
         if row.advert is not None:
@@ -170,10 +174,10 @@
 def ended_lives(
     members: MemberTable, zone: ZoneName, now: float
 ) -> frozenset[BootId]:
-    """Return the lifetimes that ended or were silent for the dead time.
+    """Return the boot IDs of processes that have ended or count as dead.
 
-    A member that others declared dead counts only after this instance's own
-    pings to it stayed without an answer.
+    A member that others have declared dead counts only if this instance's
+    own pings to it have not been answered either.
     """
     silent = {
         row.boot_id
@@ -183,7 +187,7 @@
         and now - row.state_since >= DEAD_BEFORE_CLAIM_S
         and now - row.measured_at >= SUSPECT_S
         and row.acked_at <= row.state_since
-        and row.checks >= CHECKS
+        and row.checks >= DIRECT_PINGS
         and now - row.checked_at >= DEAD_BEFORE_CLAIM_S / 2
     }
     return frozenset(silent | set(members.ended))
@@ -192,15 +196,15 @@
 def select_claims(
     record: SeatRecord, plan: ClaimPlan, me: Owner
 ) -> list[Claim]:
-    """Choose the seats to claim from the store's record.
+    """Return the seats to claim, given the store's record.
 
-    Seats that the record gives to this very lifetime are claimed even above
-    the share, since no other instance may claim them.
+    Seats that the record assigns to the claimant's own process are claimed
+    even above the share, since no other instance may claim them.
 
     Parameters
     ----------
     record : SeatRecord
-        As just read from the store.
+        The record as last read from the store.
     plan : ClaimPlan
     me : Owner
         The claimant.
@@ -210,21 +214,21 @@
         plan.missing, key=lambda s: (s % plan.live != plan.rank, s)
     ):
         owner = record.owners.get(seat)
-        is_mine = owner is not None and owner.boot_id == me.boot_id
-        if len(claims) >= plan.most and not is_mine:
+        is_own = owner is not None and owner.boot_id == me.boot_id
+        if len(claims) >= plan.most and not is_own:
             continue
         if owner is not None and not _has_ended(owner, plan, me):
             continue
-        mark = plan.known_holders.get(seat, SeatHolder(0, BootId("")))
+        holder = plan.known_holders.get(seat, SeatHolder(0, BootId("")))
         epoch = record.epoch(seat)
         if (
-            mark.epoch > epoch
-            and mark.boot_id not in plan.ended
-            and mark.boot_id != me.boot_id
+            holder.epoch > epoch
+            and holder.boot_id not in plan.ended
+            and holder.boot_id != me.boot_id
             and seat not in plan.overdue
         ):
             continue
-        epoch = max(epoch, mark.epoch)
+        epoch = max(epoch, holder.epoch)
         claims.append(
             Claim(seat=seat, epoch=epoch + CLAIM_EPOCHS, was_used=epoch > 0)
         )
@@ -232,9 +236,9 @@
 
 
 def _has_ended(owner: Owner, plan: ClaimPlan, me: Owner) -> bool:
-    # An owner at this process's own address is an earlier process, since an
-    # address is bound by one process at a time. The instance's name alone
-    # proves nothing: a replacement elsewhere may have the same name.
+    # An owner with this process's address is an earlier process, since only
+    # one process at a time can bind an address. An equal instance name is no
+    # proof: a replacement on another host may have the same name.
     return (
         owner.boot_id in plan.ended
         or me.boot_id == owner.boot_id
@@ -245,7 +249,7 @@
 def with_owners(
     record: SeatRecord, owners: Mapping[SeatIndex, Owner]
 ) -> SeatRecord:
-    """Return the record with new owners; older epochs change nothing."""
+    """Return the record with new owners; ignore owners of older epochs."""
     merged = dict(record.owners)
     for seat, owner in owners.items():
         if owner.epoch > record.epoch(seat):
@@ -256,7 +260,7 @@
 def without_owner(
     record: SeatRecord, seat: SeatIndex, epoch: int
 ) -> SeatRecord:
-    """Return the record with a seat given up at an epoch."""
+    """Return the record with a seat released at an epoch."""
     owner = record.owners.get(seat)
     if owner is not None and owner.epoch > epoch:
         return record
@@ -266,7 +270,7 @@
 
 
 def longest_deadline_s(state: "State", length: Length) -> float:
-    """Return the longest deadline of a class of a length, in seconds."""
+    """Return the longest deadline of classes of a length, in seconds."""
     deadlines = [
         c.deadline_ms
         for service in state.of(Service).values()
@@ -283,55 +287,59 @@
     zone: ZoneName,
     now: float,
 ) -> None:
-    """Keep the deadlines of a state while work under it may still run.
+    """Keep the deadlines of the old state while its requests may still run.
 
-    With another number of seats the slots belong to other seats, so that
-    held ones are closed until the work on the slots has ended.
+    A change of the number of seats assigns slots to other seats. Held seats
+    are then closed until the requests on their slots have ended.
     """
-    table.old_classes = [o for o in table.old_classes if o.until > now]
+    table.old_deadlines = [o for o in table.old_deadlines if o.until > now]
     short_s = longest_deadline_s(old, Length.SHORT)
     long_s = longest_deadline_s(old, Length.LONG)
-    is_relaid = _long_slots(old) != _long_slots(new)
-    is_reseated = zone in old.of(Zone) and old.of(Zone)[zone].seats != _seats(
-        new, zone
-    )
+    long_slots_changed = _long_slots(old) != _long_slots(new)
+    seat_count_changed = zone in old.of(Zone) and old.of(Zone)[
+        zone
+    ].seats != _seat_count(new, zone)
     until = now + max(short_s, long_s) + CLOCK_MARGIN_S
-    if is_reseated:
+    if seat_count_changed:
         for held in table.held.values():
             held.short_opens_at = max(held.short_opens_at, until)
             held.long_opens_at = max(held.long_opens_at, until)
     if (
-        is_relaid
-        or is_reseated
+        long_slots_changed
+        or seat_count_changed
         or longest_deadline_s(new, Length.SHORT) < short_s
         or longest_deadline_s(new, Length.LONG) < long_s
     ):
-        kept = OldClasses(
+        kept = OldDeadlines(
             until=until,
             short_s=short_s,
             long_s=long_s,
-            is_relaid=is_relaid or is_reseated,
-            is_reseated=is_reseated,
+            long_slots_changed=long_slots_changed or seat_count_changed,
+            seat_count_changed=seat_count_changed,
         )
-        table.old_classes.append(kept)
-    if len(table.old_classes) > OLD_CLASSES_MAX:
-        first, second = table.old_classes[:2]
-        table.old_classes[:2] = [_merged(first, second)]
+        table.old_deadlines.append(kept)
+    if len(table.old_deadlines) > OLD_DEADLINES_MAX:
+        first, second = table.old_deadlines[:2]
+        table.old_deadlines[:2] = [_merge_deadlines(first, second)]
 
 
-def _merged(first: OldClasses, second: OldClasses) -> OldClasses:
-    return OldClasses(
+def _merge_deadlines(
+    first: OldDeadlines, second: OldDeadlines
+) -> OldDeadlines:
+    return OldDeadlines(
         until=max(first.until, second.until),
         short_s=max(first.short_s, second.short_s),
         long_s=max(first.long_s, second.long_s),
-        is_relaid=first.is_relaid or second.is_relaid,
-        is_reseated=first.is_reseated or second.is_reseated,
+        long_slots_changed=first.long_slots_changed
+        or second.long_slots_changed,
+        seat_count_changed=first.seat_count_changed
+        or second.seat_count_changed,
     )
 
 
-def _seats(state: "State", zone: ZoneName) -> int:
-    known = state.of(Zone).get(zone)
-    return known.seats if known is not None else 0
+def _seat_count(state: "State", zone: ZoneName) -> int:
+    row = state.of(Zone).get(zone)
+    return row.seats if row is not None else 0
 
 
 def _long_slots(state: "State") -> dict[str, int]:
@@ -341,15 +349,19 @@
 def held_after_claim(
     table: SeatTable, state: "State", claim: Claim, now: float
 ) -> Held:
-    """Return the held seat, opening when no earlier work can still run."""
-    old_classes = [o for o in table.old_classes if o.until > now]
-    if not claim.was_used and not any(o.is_reseated for o in old_classes):
+    """Return a claimed seat that opens when no earlier request can run."""
+    old_deadlines = [o for o in table.old_deadlines if o.until > now]
+    if not claim.was_used and not any(
+        o.seat_count_changed for o in old_deadlines
+    ):
         return Held(epoch=claim.epoch, short_opens_at=now, long_opens_at=now)
     short_s = longest_deadline_s(state, Length.SHORT)
     long_s = longest_deadline_s(state, Length.LONG)
-    for old in old_classes:
+    for old in old_deadlines:
         long_s = max(long_s, old.long_s)
-        short_s = max(short_s, long_s if old.is_relaid else old.short_s)
+        short_s = max(
+            short_s, long_s if old.long_slots_changed else old.short_s
+        )
     margin_s = CLOCK_MARGIN_S + NEWS_MARGIN_S
     short_opens_at = now + max(short_s + margin_s, SHIFT_WINDOW_S)
     return Held(
@@ -362,11 +374,11 @@
 def held_after_transfer(
     epoch: int, now: float, short_opens_at: float, long_opens_at: float
 ) -> Held:
-    """Return a seat handed over by its idle holder.
+    """Return a seat transferred by its idle holder.
 
     It opens after one window of the shift limiter, since admissions of the
-    earlier holder still count in that window, and not before it would have
-    opened for that holder.
+    earlier holder still count in that window, and no earlier than it would
+    have opened for that holder.
     """
     opens_at = now + SHIFT_WINDOW_S
     return Held(
@@ -379,16 +391,16 @@
 def choose_holder(
     members: MemberTable, zone: ZoneName, held: int, rng: random.Random
 ) -> Member | None:
-    """Choose a member that holds at least 2 more seats than `held`.
+    """Return a random member with at least 2 more seats than `held`.
 
-    It is one of those with at least half the excess of the richest, so that
-    the requests of many poor instances do not all go to one.
+    Candidates have at least half of the largest excess, so that requests of
+    many instances with few seats do not all go to the same holder.
     """
     excess = {
         m.instance: len(m.advert.seats) - held
         for m in members.live_in_zone(zone)
         if m.advert is not None and not m.advert.leaving
     }
-    least = max(2.0, max(excess.values(), default=0) / 2)
-    rich = [i for i, seats in excess.items() if seats >= least]
-    return members.rows[rng.choice(rich)] if rich else None
+    excess_min = max(2.0, max(excess.values(), default=0) / 2)
+    candidates = [i for i, seats in excess.items() if seats >= excess_min]
+    return members.rows[rng.choice(candidates)] if candidates else None
--- a/chiverun/core/sendbudget.py
+++ b/chiverun/core/sendbudget.py
@@ -1,29 +1,30 @@
-"""Bounds shared by all machines, kept by each with a part of its own.
+"""Limits shared by all machines, each of which enforces its own part.
 
-No machine knows the counts of the others, so each uses only its part. The
-number of machines that the parts are computed with never falls while
-machines are merely out of reach, so a partition cannot raise the sum.
+No machine knows the counts of the others, so each uses only its part. Machines
+that are merely unreachable still count when the parts are computed, so a
+partition cannot raise the sum.
 """
 
 import collections
 import dataclasses
 
 from chiverun.core.limits import WindowLimiter
-from chiverun.core.placement import unit_hash
+from chiverun.core.placement import hash_fraction
 
-# Part of a bound that is used, since windows differ between machines and a
-# request can arrive up to a round trip after it was sent.
+# Usable part of a limit. The rest is a margin, since windows differ between
+# machines and a request can arrive up to a round trip after it was sent.
 BUDGET_PART = 0.8
 COLD_PART = 0.75
-# Length of the window of cold sends: a second and the jitter of arrivals.
+# Window of sends to a cold server: one second and the jitter of arrivals.
 COLD_WINDOW_S = 1.25
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class BudgetBounds:
-    """Bounds of a service over all machines.
+    """Limits of a service over all machines.
 
-    In any `window_s` further sends stay below `ratio` x requests + `extra`.
+    In any `window_s`, retries and hedges stay below `ratio` x requests +
+    `extra`.
     """
 
     ratio: float
@@ -32,12 +33,12 @@
 
 
 class SendBudget:
-    """Further sends of one service by this machine."""
+    """Budget of this machine for retries and hedges of one service."""
 
     def __init__(self, *, bounds: BudgetBounds) -> None:
         self._bounds = bounds
         self._requests: collections.deque[float] = collections.deque()
-        self._further: collections.deque[float] = collections.deque()
+        self._extra_sends: collections.deque[float] = collections.deque()
 
     def note_request(self, now: float) -> None:
         """Count a client's request for the service."""
@@ -45,29 +46,29 @@
         self._expire(now)
 
     def try_consume(self, now: float, machines: int) -> bool:
-        """Take one further send if this machine's part has room."""
+        """Admit one retry or hedge if this machine's part allows it."""
         self._expire(now)
         allowed = BUDGET_PART * (
             self._bounds.ratio * len(self._requests)
             + self._bounds.extra / max(1, machines)
         )
-        if len(self._further) + 1 > allowed:
+        if len(self._extra_sends) + 1 > allowed:
             return False
-        self._further.append(now)
+        self._extra_sends.append(now)
         return True
 
     def _expire(self, now: float) -> None:
         since = now - self._bounds.window_s
-        for times in (self._requests, self._further):
+        for times in (self._requests, self._extra_sends):
             while times and times[0] <= since:
                 times.popleft()
 
 
 class ColdLimit:
-    """Sends of this machine to one cold server.
+    """Limit of this machine's sends to one cold server.
 
-    The bound of a cold server is divided into whole sends a window, held by
-    as many machines as there are sends, chosen by hash.
+    The limit of a cold server is divided into whole sends per window. With
+    fewer sends than machines, a hash selects the machines that may send.
     """
 
     def __init__(self, *, server: str, machine: str) -> None:
@@ -85,9 +86,9 @@
         now : float
             Monotonic seconds.
         per_s : float
-            Requests a second that the server bears from all machines.
+            Maximum requests per second to the server from all machines.
         machines : Collection[str]
-            Names of all machines, this one included.
+            Names of all machines, including this one.
         """
         sends = int(per_s * COLD_PART)
         count = max(1, len(machines))
@@ -95,7 +96,8 @@
             self._limiter.cap = sends // count
         else:
             ranked = sorted(
-                machines, key=lambda name: unit_hash(f"{self._server}\0{name}")
+                machines,
+                key=lambda name: hash_fraction(f"{self._server}\0{name}"),
             )
             self._limiter.cap = int(self._machine in ranked[:sends])
         return self._limiter.try_consume(now)
--- a/chiverun/core/shift.py
+++ b/chiverun/core/shift.py
@@ -1,7 +1,8 @@
-"""Traffic shifts: how much to move now, and which requests to move.
+"""Traffic shifts: the fraction to move now, and the requests to move.
 
-The cap is enforced where a moved request is admitted (`core.admission`);
-here the source region decides how many requests it offers.
+The target region enforces the cap when it admits a moved request
+(`core.admission`). The functions here decide how many requests the source
+region offers.
 """
 
 import dataclasses
@@ -17,18 +18,19 @@
     from chiverun.core.routing import Target
     from chiverun.core.state import State
 
-# Jitter allowed between the admission of a moved request and its arrival at
-# the backend server; a grant that is older is not used.
+# Maximum time between the admission of a moved request and its arrival at the
+# backend server; an older grant is not used.
 SHIFT_JITTER_S = 0.25
-# The cap holds for any second of arrivals at the backend servers.
+# With this window the cap holds in any second of arrivals at the servers.
 SHIFT_WINDOW_S = 1.0 + SHIFT_JITTER_S
-# A refused request costs a round trip between regions.
+# Each rejected offer costs a round trip between regions.
 TARGETS_PER_REQUEST = 2
-# The first step and the growth of a step, as parts of the target fraction.
-FIRST_STEP = 0.1
-STEP_GROWTH = 2.0
-# A summary of the target older than this does not allow growth.
-FRESH_S = 3.0
+# The first step is a part of the target fraction; each later step multiplies
+# the current fraction.
+FIRST_STEP_SHARE = 0.1
+STEP_FACTOR = 2.0
+# Maximum age of a measurement that allows growth.
+MEASUREMENT_MAX_AGE_S = 3.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -41,38 +43,38 @@
 
 @dataclasses.dataclass(kw_only=True)
 class ShiftProgress:
-    """How far a shift has grown on this instance."""
+    """Progress of a shift on this instance."""
 
     shift: Shift
     fraction: float = 0.0
     grown_at: float = float("-inf")
     diffusion: float = 0.0
     credits: dict["InstanceId", int] = dataclasses.field(default_factory=dict)
-    closed_until: dict["InstanceId", float] = dataclasses.field(
+    skipped_until: dict["InstanceId", float] = dataclasses.field(
         default_factory=dict
     )
 
 
 def cap_name(shift: Shift) -> str:
-    """Return the name by which a shift's cap is divided over seats.
+    """Return the name used to divide a shift's cap over seats.
 
-    It does not depend on the shift's own name, so that a ticket that
-    replaces a shift gives the units to the same seats, and the requests of
-    the earlier shift still count in the window.
+    It does not depend on the shift's own name. When a ticket replaces a
+    shift, the units thus stay with the same seats, and requests of the
+    earlier shift still count in the window.
     """
     return f"shift:{shift.service}:{shift.source}:{shift.target}"
 
 
 def is_same_move(first: Shift, second: Shift) -> bool:
-    """Tell whether two shifts move the same requests to the same region."""
+    """Return whether two shifts have equal service, source and target."""
     return cap_name(first) == cap_name(second)
 
 
 def with_shift(progress: ShiftProgress, shift: Shift) -> ShiftProgress:
     """Return the progress of a changed shift.
 
-    The reached fraction is kept, up to the new one: traffic does not fall
-    back when a ticket changes the fraction or the cap.
+    The current fraction is kept, up to the new target fraction, so that
+    traffic does not move back when a ticket changes the fraction or the cap.
     """
     return dataclasses.replace(
         progress,
@@ -87,7 +89,7 @@
     source: "RegionName",
     target: "RegionName | None" = None,
 ) -> Shift | None:
-    """Return the active shift of a service from `source`, if any."""
+    """Return the active shift of a service from `source`; None if none."""
     for shift in state.of(Shift).values():
         if (
             shift.state is ShiftState.ACTIVE
@@ -102,27 +104,29 @@
 def grow(
     progress: ShiftProgress, measurement: Measurement | None, now: float
 ) -> None:
-    """Raise the fraction by one step if the target is measured to have room.
+    """Raise the fraction by one step if the target has free slots.
 
-    A missing or stale measurement stops growth and never speeds it.
+    Without a recent measurement the fraction does not grow.
     """
-    goal = progress.shift.fraction
-    if progress.fraction >= goal:
-        progress.fraction = goal
+    target_fraction = progress.shift.fraction
+    if progress.fraction >= target_fraction:
+        progress.fraction = target_fraction
         return
-    if measurement is None or measurement.age_s > FRESH_S:
+    if measurement is None or measurement.age_s > MEASUREMENT_MAX_AGE_S:
         return
     if measurement.free_slots <= 0 or now - progress.grown_at < (
         progress.shift.warm_s
     ):
         return
-    step = max(progress.fraction * STEP_GROWTH, goal * FIRST_STEP)
-    progress.fraction = min(goal, step)
+    step = max(
+        progress.fraction * STEP_FACTOR, target_fraction * FIRST_STEP_SHARE
+    )
+    progress.fraction = min(target_fraction, step)
     progress.grown_at = now
 
 
 def take(progress: ShiftProgress) -> bool:
-    """Decide by error diffusion whether the next request is moved."""
+    """Return whether to move the next request, by error diffusion."""
     progress.diffusion += progress.fraction
     if progress.diffusion < 1.0:
         return False
@@ -133,18 +137,18 @@
 def select_targets(
     progress: ShiftProgress, targets: list["Target"], now: float
 ) -> list["Target"]:
-    """Order the instances to offer a moved request to.
+    """Return the instances to offer a moved request to, in order.
 
-    Smooth weighted round robin by their portions of the cap; instances that
-    refused a request a moment ago are left out.
+    The order is a smooth weighted round robin by portions of the cap.
+    Instances that have just rejected a request are skipped.
     """
-    names = {t.addresses.instance for t in targets}
-    for name in set(progress.credits) - names:
+    instance_ids = {t.addresses.instance for t in targets}
+    for name in set(progress.credits) - instance_ids:
         del progress.credits[name]
     usable = [
         t
         for t in targets
-        if now >= progress.closed_until.get(t.addresses.instance, now)
+        if now >= progress.skipped_until.get(t.addresses.instance, now)
     ]
     if not usable:
         return []
@@ -160,9 +164,10 @@
 def record_refusal(
     progress: ShiftProgress, target: "Target", now: float
 ) -> None:
-    """Leave out an instance that is at its portion of the cap.
+    """Skip an instance that is at its portion of the cap for a while.
 
-    It admits about one more request in each window divided by its portion.
+    The pause is the window divided by the portion, the mean time until the
+    instance admits another request.
     """
     wait_s = SHIFT_WINDOW_S / max(1, target.portion)
-    progress.closed_until[target.addresses.instance] = now + wait_s
+    progress.skipped_until[target.addresses.instance] = now + wait_s
--- a/chiverun/core/slots.py
+++ b/chiverun/core/slots.py
@@ -1,8 +1,8 @@
 """Slots of backend servers that an instance may use, with exact counts.
 
-A grant costs time in the number of servers only when few of them may take
-the request: free slots are kept by server, and servers with free slots in a
-set from which one is drawn in constant time.
+Free slots are kept by server, and servers with free slots in a set that
+allows a random draw in constant time. A grant scans all servers only when
+few of them are eligible for the request.
 """
 
 import dataclasses
@@ -47,30 +47,30 @@
 
 
 class NameSet:
-    """A set of names that can be drawn from at random in constant time."""
+    """A set of names with random draws in constant time."""
 
     def __init__(self) -> None:
         self.names: list[ServerName] = []
-        self._places: dict[ServerName, int] = {}
+        self._positions: dict[ServerName, int] = {}
 
     def __len__(self) -> int:
         return len(self.names)
 
     def add(self, name: "ServerName") -> None:
-        """Add a name unless it is there."""
-        if name not in self._places:
-            self._places[name] = len(self.names)
+        """Add a name if it is not present."""
+        if name not in self._positions:
+            self._positions[name] = len(self.names)
             self.names.append(name)
 
     def discard(self, name: "ServerName") -> None:
-        """Remove a name if it is there."""
-        place = self._places.pop(name, None)
-        if place is None:
+        """Remove a name if it is present."""
+        position = self._positions.pop(name, None)
+        if position is None:
             return
         last = self.names.pop()
         if last != name:
-            self.names[place] = last
-            self._places[last] = place
+            self.names[position] = last
+            self._positions[last] = position
 
     def draw(self, rng: random.Random) -> "ServerName":
         """Return one of the names at random."""
@@ -81,16 +81,17 @@
 class ServerSlots:
     """This instance's slots of one server.
 
-    `in_flight` counts used and occupied slots of all seats, also of seats
-    that are no longer held; `overdue` those of short requests that have run
-    for so long that they count as long ones.
+    `capacity` is the number of slots that belong to held seats.
+    `in_flight` counts used and occupied slots of all seats, including seats
+    that are no longer held. `overdue` counts slots of short requests that
+    have run so long that they count as long ones.
     """
 
     server: "Server"
     free_short: list[Slot] = dataclasses.field(default_factory=list)
     free_long: list[Slot] = dataclasses.field(default_factory=list)
-    mine: int = 0
-    mine_long: int = 0
+    capacity: int = 0
+    long_capacity: int = 0
     in_flight: int = 0
     long_in_flight: int = 0
     overdue: int = 0
@@ -102,34 +103,34 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Use:
-    """What holds a slot."""
+class _SlotUse:
+    """A use of a slot by a request."""
 
     seat: "SeatIndex"
     is_long: bool
 
 
 class SlotTable:
-    """Free and used slots; callers hold a lock."""
+    """Free and used slots; methods are called with a lock held."""
 
     def __init__(self) -> None:
         self._servers: dict[ServerName, ServerSlots] = {}
         self._free: dict[ServiceName, NameSet] = {}
         self._free_long: dict[ServiceName, NameSet] = {}
-        self._members: dict[ServiceName, list[ServerName]] = {}
+        self._server_names: dict[ServiceName, list[ServerName]] = {}
         self._layout: dict[SlotKey, Slot] = {}
-        self._used: dict[SlotKey, _Use] = {}
+        self._used: dict[SlotKey, _SlotUse] = {}
         self._opening: list[tuple[float, SlotKey]] = []
-        # Slots that are not open yet, whatever else becomes of them.
-        self._closed: set[SlotKey] = set()
+        # Slots that have not opened yet, whether in use or free.
+        self._unopened: set[SlotKey] = set()
 
     def server(self, name: "ServerName") -> ServerSlots:
-        """Return the slots of a server of the layout."""
+        """Return the slots of a server."""
         return self._servers[name]
 
     def servers(self, service: "ServiceName") -> Sequence["ServerName"]:
-        """Return the servers of a service that have slots here."""
-        return self._members.get(service, ())
+        """Return the servers of a service with slots of held seats."""
+        return self._server_names.get(service, ())
 
     def free_servers(
         self, service: "ServiceName", *, is_long: bool
@@ -142,24 +143,24 @@
         return len(self._used)
 
     def seat_in_use(self, seat: "SeatIndex") -> bool:
-        """Tell whether a slot of a seat is in use or occupied."""
+        """Return whether a slot of a seat is in use or occupied."""
         return any(use.seat == seat for use in self._used.values())
 
-    def take(self, server: "ServerName", *, is_long: bool) -> Slot:
-        """Take a free slot; short requests use those for long ones last."""
+    def allocate(self, server: "ServerName", *, is_long: bool) -> Slot:
+        """Allocate a free slot; short requests use long slots last."""
         row = self._servers[server]
         stack = (
             row.free_long if is_long or not row.free_short else row.free_short
         )
         slot = stack.pop()
-        self._used[slot.key] = _Use(seat=slot.seat, is_long=is_long)
+        self._used[slot.key] = _SlotUse(seat=slot.seat, is_long=is_long)
         row.in_flight += 1
         row.long_in_flight += is_long
-        self._index(row)
+        self._update_free_sets(row)
         return slot
 
     def free(self, key: SlotKey) -> None:
-        """Give a slot back."""
+        """Release a slot."""
         use = self._used.pop(key)
         row = self._servers.get(key[0])
         if row is None:
@@ -167,20 +168,20 @@
         row.in_flight -= 1
         row.long_in_flight -= use.is_long
         slot = self._layout.get(key)
-        if slot is not None and key not in self._closed:
-            self._stack(row, slot).append(slot)
-            self._index(row)
+        if slot is not None and key not in self._unopened:
+            self._free_list(row, slot).append(slot)
+            self._update_free_sets(row)
 
     def advance(self, now: float) -> None:
-        """Open the slots whose time has come by `now`."""
+        """Open the slots whose opening time is at or before `now`."""
         while self._opening and self._opening[0][0] <= now:
             _, key = heapq.heappop(self._opening)
-            self._closed.discard(key)
+            self._unopened.discard(key)
             if key not in self._used:
                 slot = self._layout[key]
                 row = self._servers[slot.server]
-                self._stack(row, slot).append(slot)
-                self._index(row)
+                self._free_list(row, slot).append(slot)
+                self._update_free_sets(row)
 
     def rebuild(
         self,
@@ -189,16 +190,16 @@
         seats: int,
         now: float,
     ) -> None:
-        """Lay the slots out anew; used ones stay used.
+        """Rebuild the layout; used slots stay in use.
 
-        A server's connections_max is kept by leaving out slots: a slot uses
-        at most one connection at a time.
+        Slots beyond a server's `connections_max` are left out, since each
+        slot uses at most one connection at a time.
         """
         by_index = {seat.index: seat for seat in held}
         old = self._servers
         self._servers, self._layout, self._opening = {}, {}, []
-        self._closed = set()
-        self._free, self._free_long, self._members = {}, {}, {}
+        self._unopened = set()
+        self._free, self._free_long, self._server_names = {}, {}, {}
         for server in servers:
             row = ServerSlots(server=server)
             if server.name in old:
@@ -208,8 +209,8 @@
                 seat = by_index.get(slot_seat(server.name, index, seats))
                 if seat is not None:
                     self._add(row, index, seat, now)
-            if row.mine:
-                self._members.setdefault(server.service, []).append(
+            if row.capacity:
+                self._server_names.setdefault(server.service, []).append(
                     server.name
                 )
         for key, use in self._used.items():
@@ -233,19 +234,19 @@
             opens_at=seat.long_opens_at if is_long else seat.short_opens_at,
         )
         self._layout[slot.key] = slot
-        row.mine += 1
-        row.mine_long += is_long
+        row.capacity += 1
+        row.long_capacity += is_long
         if slot.opens_at > now:
             self._opening.append((slot.opens_at, slot.key))
-            self._closed.add(slot.key)
+            self._unopened.add(slot.key)
         elif slot.key not in self._used:
-            self._stack(row, slot).append(slot)
-            self._index(row)
+            self._free_list(row, slot).append(slot)
+            self._update_free_sets(row)
 
-    def _stack(self, row: ServerSlots, slot: Slot) -> list[Slot]:
+    def _free_list(self, row: ServerSlots, slot: Slot) -> list[Slot]:
         return row.free_long if slot.is_long else row.free_short
 
-    def _index(self, row: ServerSlots) -> None:
+    def _update_free_sets(self, row: ServerSlots) -> None:
         service, name = row.server.service, row.server.name
         free = self._free.setdefault(service, NameSet())
         free.add(name) if row.free else free.discard(name)
@@ -254,12 +255,11 @@
 
 
 class RegionUnits:
-    """Units of a region's cap, each bound to a seat.
+    """Units of a region's cap on requests in flight, each bound to a seat.
 
-    A request charges a unit of one seat, which need not be the seat of its
+    A request charges a unit of one seat, not necessarily the seat of its
     slot. The unit stays charged until the request has ended, and its seat
-    counts as in use, so that a seat is not handed over with a unit that is
-    still charged.
+    counts as in use, so a seat is never transferred with a charged unit.
     """
 
     def __init__(self) -> None:
@@ -274,10 +274,10 @@
         first: int,
         total: int,
     ) -> None:
-        """Set the portions of held seats; cap 0 means no limit.
+        """Set the portions of held seats; a cap of 0 means no limit.
 
-        The units of a claimed seat open only when no work of its earlier
-        holder can be running, long requests included.
+        The units of a claimed seat open only when no request of its earlier
+        holder can still be running, long requests included.
         """
         self._portions = None
         if cap:
@@ -289,46 +289,51 @@
                 for seat in held
             }
 
-    def lay_out(self, snapshot: "Snapshot", zone: "Zone | None") -> None:
-        """Set the portions of the held seats of a zone from its region."""
+    def rebuild_from_snapshot(
+        self, snapshot: "Snapshot", zone: "Zone | None"
+    ) -> None:
+        """Set the portions of held seats from the cap of the zone's region."""
         state = snapshot.state
         region = state.of(Region).get(zone.region) if zone else None
         if zone is None or region is None:
             self.rebuild("", 0, (), 0, 1)
             return
         zones = region_zones(state, region.name)
-        place = [z.name for z in zones].index(zone.name)
+        position = [z.name for z in zones].index(zone.name)
         self.rebuild(
             f"region:{region.name}",
             region.in_flight_max,
             snapshot.seats,
-            sum(z.seats for z in zones[:place]),
+            sum(z.seats for z in zones[:position]),
             sum(z.seats for z in zones),
         )
 
-    def has_room(self, now: float) -> bool:
-        """Tell whether a request may be charged."""
-        return self._portions is None or self._find(now) is not None
+    def has_free_unit(self, now: float) -> bool:
+        """Return whether a unit is free, or there is no cap."""
+        return self._portions is None or self._find_free_seat(now) is not None
 
     def charge(self, now: float) -> "SeatIndex | None":
-        """Charge a unit; None if there is no cap. `has_room` was true."""
+        """Charge a unit and return its seat; None if there is no cap.
+
+        `has_free_unit` must have returned true at `now`.
+        """
         if self._portions is None:
             return None
-        seat = self._find(now)
+        seat = self._find_free_seat(now)
         assert seat is not None
         self._charged[seat] = self._charged.get(seat, 0) + 1
         return seat
 
     def refund(self, seat: "SeatIndex | None") -> None:
-        """Give a unit back."""
+        """Release a charged unit."""
         if seat is not None:
             self._charged[seat] -= 1
 
     def in_use(self, seat: "SeatIndex") -> bool:
-        """Tell whether a unit of a seat is charged."""
+        """Return whether a unit of a seat is charged."""
         return self._charged.get(seat, 0) > 0
 
-    def _find(self, now: float) -> "SeatIndex | None":
+    def _find_free_seat(self, now: float) -> "SeatIndex | None":
         for seat, (units, opens_at) in (self._portions or {}).items():
             if now >= opens_at and self._charged.get(seat, 0) < units:
                 return seat
--- a/chiverun/core/waiting.py
+++ b/chiverun/core/waiting.py
@@ -16,16 +16,16 @@
 W = TypeVar("W")
 QueueKey = tuple[ServiceName, str]
 
-# Waiters of one queue that are looked at in one turn, if those before have
-# expired or exclude the servers that are free.
-LOOKED_AT_MAX = 64
+# Maximum number of waiters of a queue checked in one turn, while earlier ones
+# have expired or exclude the free servers.
+CHECKED_PER_TURN_MAX = 64
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
 class Waiter(Generic[W, G]):
-    """A waiting request; ends with `grant` or `error` and a `notify` call.
+    """A waiting request; `finish` sets its result and calls `notify`.
 
-    It is not worth starting after `latest_start` (monotonic seconds).
+    The request is rejected after `latest_start` (monotonic seconds).
     """
 
     key: QueueKey
@@ -39,14 +39,14 @@
     def finish(
         self, *, grant: G | None = None, error: ChiverunError | None = None
     ) -> None:
-        """Set the result and wake the one who waits."""
+        """Set the result and notify the waiting caller."""
         self.grant = grant
         self.error = error
         self.notify()
 
 
 class WaitQueues(Generic[W, G]):
-    """Queues in turn; callers hold a lock."""
+    """Queues served in turn; methods are called with a lock held."""
 
     def __init__(self) -> None:
         # Insertion order is queue order, and removal takes constant time.
@@ -71,7 +71,7 @@
         return len(self._queues.get(key, ()))
 
     def lengths(self, service: ServiceName) -> Iterable[tuple[str, int]]:
-        """Return class name and length of a service's queues."""
+        """Return the class name and length of each queue of a service."""
         return [
             (key[1], len(queue))
             for key, queue in self._queues.items()
@@ -81,16 +81,18 @@
     def serve(
         self,
         now: float,
-        may_try: Callable[[QueueKey], bool],
+        may_serve: Callable[[QueueKey], bool],
         grant: Callable[[Waiter[W, G]], G | None],
-        expired: Callable[[Waiter[W, G]], ChiverunError],
+        deadline_error: Callable[[Waiter[W, G]], ChiverunError],
     ) -> None:
-        """Grant what can be granted, one waiter of each queue in turn."""
+        """Grant slots to waiters, one of each queue in turn."""
         progress = True
         while progress:
             progress = False
             for key in list(self._queues):
-                if may_try(key) and self._serve_one(key, now, grant, expired):
+                if may_serve(key) and self._serve_one(
+                    key, now, grant, deadline_error
+                ):
                     progress = True
                     if key in self._queues:
                         self._queues.move_to_end(key)
@@ -100,17 +102,17 @@
         key: QueueKey,
         now: float,
         grant: Callable[[Waiter[W, G]], G | None],
-        expired: Callable[[Waiter[W, G]], ChiverunError],
+        deadline_error: Callable[[Waiter[W, G]], ChiverunError],
     ) -> bool:
         """Serve the first waiter of a queue that can be served.
 
-        A waiter that is refused for a reason of its own, such as a shift's
-        cap or its deadline, ends with the refusal and does not block others.
+        A waiter that is rejected for its own reasons, such as its deadline
+        or the cap of a shift, ends with that error and does not block others.
         """
         for waiter in self._first(key):
             if waiter.latest_start < now:
                 self.remove(waiter)
-                waiter.finish(error=expired(waiter))
+                waiter.finish(error=deadline_error(waiter))
                 continue
             try:
                 granted = grant(waiter)
@@ -123,9 +125,9 @@
                 waiter.finish(grant=granted)
                 return True
             if not waiter.excluded:
-                # No server takes this class, so none behind can start.
+                # No server is free for this class, so later waiters wait too.
                 break
         return False
 
     def _first(self, key: QueueKey) -> list[Waiter[W, G]]:
-        return list(itertools.islice(self._queues[key], LOOKED_AT_MAX))
+        return list(itertools.islice(self._queues[key], CHECKED_PER_TURN_MAX))
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of admission: exact counts, caps, queues, early refusal."""
+"""Tests of admission: exact counts, caps, queues, early rejection."""
 
 import threading
 import unittest
@@ -36,16 +36,18 @@
 _ENDS = (OK, RESET, TimedOut(), NotSent(detail="test"))
 
 
-def _learn(zone: Zoned, request_class, seconds: float, count: int = 30):
-    """Let a class be observed to run for a time."""
+def _record_samples(
+    zone: Zoned, request_class, seconds: float, count: int = 30
+):
+    """Record samples of a class that runs for `seconds`."""
     for _ in range(count):
-        grant = zone.take(request_class)
+        grant = zone.acquire(request_class)
         zone.advance(seconds)
         zone.admission.release(grant, OK)
 
 
-def _used_by_plain_count(zone: Zoned, live: list) -> dict:
-    """Count slots in use the plain way: `live` has (grant, until) pairs."""
+def _grants_in_use(zone: Zoned, live: list) -> dict:
+    """Return grants in use by server; `live` has (grant, until) pairs."""
     now = zone.clock.monotonic()
     used: dict = {}
     for grant, until in live:
@@ -60,9 +62,9 @@
     @given(
         st.lists(
             st.one_of(
-                st.tuples(st.just("take"), st.sampled_from([READ, EXPORT])),
+                st.tuples(st.just("acquire"), st.sampled_from([READ, EXPORT])),
                 st.tuples(st.just("end"), st.integers(0, 20)),
-                st.tuples(st.just("move"), st.integers(0, 15)),
+                st.tuples(st.just("transfer"), st.integers(0, 15)),
                 st.tuples(st.just("wait"), st.sampled_from([0.1, 1.0, 3.0])),
             ),
             max_size=60,
@@ -74,11 +76,11 @@
     def test_no_cap_is_exceeded_and_no_slot_is_left(
         self, steps, cap, connections, seed
     ):
-        """Guards against counts lost over unknown ends, seats and caps.
+        """Guards against wrong counts after unknown outcomes and transfers.
 
-        Two instances share the seats; a seat moves as the control plane
-        moves it, when the giver no longer uses it. A plain count of what
-        the servers may be running is compared after each step.
+        Two instances share the seats. A seat is transferred, as by the
+        control plane, once its holder no longer uses it. Each step compares
+        the counts with all requests that the servers may be running.
         """
         current = state(
             server("s1", connections_max=connections),
@@ -92,16 +94,16 @@
         live: list = []
         for step, value in steps:
             zone = zones[len(live) % 2]
-            if step == "take":
-                grant = zone.take(value)
+            if step == "acquire":
+                grant = zone.acquire(value)
                 if grant is not None:
                     live.append([grant, None, zone])
                 elif value is READ:
                     self._check_refusal(zone, live)
             elif step == "end" and live:
                 self._end(live[value % len(live)], _ENDS[value % 4])
-            elif step == "move":
-                self._move(zones, value)
+            elif step == "transfer":
+                self._transfer(zones, value)
             elif step == "wait":
                 for each in zones:
                     each.advance(value)
@@ -116,8 +118,8 @@
                 now = zone.clock.monotonic()
                 entry[1] = max(now, grant.work.deadline + CLOCK_MARGIN_S)
 
-    def _move(self, zones, value):
-        previous_holder, taker = zones[value % 2], zones[1 - value % 2]
+    def _transfer(self, zones, value):
+        previous_holder, receiver = zones[value % 2], zones[1 - value % 2]
         moved = [s for s in previous_holder.held if s.index == value % 4]
         previous_holder.held = tuple(
             s for s in previous_holder.held if s not in moved
@@ -126,17 +128,17 @@
         if moved and previous_holder.admission.seat_in_use(moved[0].index):
             previous_holder.held += tuple(moved)
         else:
-            taker.held += tuple(moved)
+            receiver.held += tuple(moved)
         for each in zones:
             each.publish()
 
     def _check_caps(self, zone, live, cap, connections):
-        used = _used_by_plain_count(zone, [e[:2] for e in live])
+        used = _grants_in_use(zone, [e[:2] for e in live])
         self.assertLessEqual(sum(map(len, used.values())), cap)
-        for name, most, long in (("s1", 4, 1), ("s2", 3, 2)):
+        for name, slot_max, long in (("s1", 4, 1), ("s2", 3, 2)):
             grants = used.get(name, [])
-            most = min(most, connections if name == "s1" else most)
-            self.assertLessEqual(len(grants), most)
+            slot_max = min(slot_max, connections if name == "s1" else slot_max)
+            self.assertLessEqual(len(grants), slot_max)
             self.assertEqual(len(grants), len({g.slot for g in grants}))
             longs = [g for g in grants if g.work.request_class is EXPORT]
             self.assertLessEqual(len(longs), long)
@@ -144,88 +146,92 @@
                 self.assertLess(grant.slot, long)
 
     def _check_refusal(self, zone, live):
-        """A plain scan finds no free slot on a server without failures."""
+        """Check that no server without failures has a free slot."""
         region = zone.state.objects["region"]["dar"]
         if region.in_flight_max < 100 or any(e[1] is not None for e in live):
             return
-        used = _used_by_plain_count(zone, [e[:2] for e in live])
-        taken = {(g.server.name, g.slot) for gs in used.values() for g in gs}
-        mine = {seat.index for seat in zone.held}
+        used = _grants_in_use(zone, [e[:2] for e in live])
+        used_slots = {
+            (g.server.name, g.slot) for gs in used.values() for g in gs
+        }
+        own_seats = {seat.index for seat in zone.held}
         free = [
             (row.name, slot)
             for row in (s for s in zone.state.objects["server"].values())
             for slot in range(min(row.slots, row.connections_max))
-            if slot_seat(row.name, slot, 4) in mine
-            and (row.name, slot) not in taken
+            if slot_seat(row.name, slot, 4) in own_seats
+            and (row.name, slot) not in used_slots
         ]
         self.assertEqual([], free)
 
     def test_units_of_a_claimed_seat_open_with_its_long_slots(self):
-        """Guards against charging a cap that a dead holder's work uses."""
+        """Guards against units in use by requests of a dead holder."""
         current = state(server("s1", slots=8), in_flight_max=4)
         late = seats(0, 1, opens_at=1005.0) + seats(2, 3)
         zone = Zoned(current, late)
-        self.assertEqual(2, len(zone.take_all()))
+        self.assertEqual(2, len(zone.acquire_all()))
         zone.advance(6.0)
-        self.assertEqual(2, len(zone.take_all()))
+        self.assertEqual(2, len(zone.acquire_all()))
 
     def test_a_slot_that_is_freed_before_it_opens_stays_closed(self):
-        """Guards against a slot that is given out early and then twice."""
+        """Guards against a slot that is granted early and then twice."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        grant = zone.take()
+        grant = zone.acquire()
         zone.held = seats(opens_at=zone.clock.monotonic() + 1.0)
         zone.publish()
         zone.admission.release(grant, OK)
-        self.assertIsNone(zone.take())
+        self.assertIsNone(zone.acquire())
         zone.advance(1.1)
-        self.assertEqual(1, len(zone.take_all()))
+        self.assertEqual(1, len(zone.acquire_all()))
 
     def test_a_seat_with_a_charged_unit_is_in_use(self):
-        """Guards against giving a seat away whose unit is still charged."""
+        """Guards against the transfer of a seat with a charged unit."""
         name = next(n for n in map(str, range(99)) if slot_seat(n, 0, 4) == 3)
         one = server(name, slots=1, long_slots=0)
         zone = Zoned(state(one, in_flight_max=4))
-        zone.take()
+        zone.acquire()
         in_use = [s for s in range(4) if zone.admission.seat_in_use(s)]
         self.assertEqual([0, 3], in_use)
 
     def test_connections_max_bounds_requests_in_flight(self):
         """Guards against more connections than the server allows."""
         zone = Zoned(state(server("s1", slots=8, connections_max=3)))
-        self.assertEqual(3, len(zone.take_all()))
+        self.assertEqual(3, len(zone.acquire_all()))
 
     def test_an_unknown_end_keeps_the_slot_until_the_deadline(self):
+        """Guards against a slot granted while its request may still run."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        zone.admission.release(zone.take(), RESET)
+        zone.admission.release(zone.acquire(), RESET)
         zone.advance(2.0)
-        self.assertIsNone(zone.take())
+        self.assertIsNone(zone.acquire())
         zone.advance(CLOCK_MARGIN_S + 0.01)
-        self.assertIsNotNone(zone.take())
+        self.assertIsNotNone(zone.acquire())
 
     def test_a_cancelled_request_that_ended_frees_its_slot(self):
+        """Guards against slots that stay occupied without a request."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        grant = zone.take()
+        grant = zone.acquire()
         zone.admission.release(grant, RESET, cancelled=True, ended=True)
-        self.assertIsNotNone(zone.take())
+        self.assertIsNotNone(zone.acquire())
 
     def test_a_second_release_changes_nothing(self):
         """Guards against a slot freed twice and then granted twice."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        grant = zone.take()
+        grant = zone.acquire()
         zone.admission.release(grant, OK)
-        second = zone.take()
+        second = zone.acquire()
         zone.admission.release(grant, RESET)
         zone.admission.release(grant, OK)
-        self.assertIsNone(zone.take())
+        self.assertIsNone(zone.acquire())
         zone.admission.release(second, OK)
-        self.assertIsNotNone(zone.take())
+        self.assertIsNotNone(zone.acquire())
 
     def test_a_server_that_is_dead_for_hours_leaks_no_slot(self):
-        """Guards against an overflow of the doubling ejection time."""
+        """Guards against float overflow of the doubling ejection time."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
         zone.admission._health["s1"].ejections = 5000
         for _ in range(4):
-            zone.admission.release(zone.take(), NotSent(detail="test"))
+            zone.admission.release(zone.acquire(), NotSent(detail="test"))
             zone.advance(31.0)
         self.assertEqual(0, zone.admission.in_flight())
 
@@ -240,16 +246,17 @@
         ({"published_at": 997.0},),
     )
     def test_a_grant_is_not_used_after_a_change(self, fields):
-        """Guards against work on lost seats and leaving servers."""
+        """Guards against requests on lost seats and draining servers."""
         zone = Zoned(state(server("s1")))
-        grant = zone.take()
+        grant = zone.acquire()
         self.assertTrue(zone.admission.confirm(grant))
         zone.publish(**fields)
         self.assertFalse(zone.admission.confirm(grant))
 
-    def test_a_server_that_said_it_drains_gets_no_granted_work(self):
+    def test_a_grant_is_not_used_after_the_server_announced_a_drain(self):
+        """Guards against requests to a draining server."""
         zone = Zoned(state(server("s1", slots=2, long_slots=0)))
-        first, second = zone.take(), zone.take()
+        first, second = zone.acquire(), zone.acquire()
         zone.admission.release(first, Shed(reason=ShedReason.DRAINING))
         self.assertFalse(zone.admission.confirm(second))
 
@@ -265,7 +272,7 @@
                 services=("desk", "archive"),
             ),
         )
-        grant = zone.take()
+        grant = zone.acquire()
         waiters = [
             zone.wait(service=name)
             for name in ("desk",) * 4 + ("archive",) * 4
@@ -280,7 +287,7 @@
             self.assertEqual({"desk", "archive"}, set(turn))
 
     def test_a_waiter_at_a_shift_cap_does_not_block_others(self):
-        """Guards against a refusal that ends the service of a queue."""
+        """Guards against a rejection that stops the whole queue."""
         link = Link(name="l", source="mwanza", target="dar", mbit_per_s=100.0)
         shift = Shift(
             name="move",
@@ -302,16 +309,17 @@
                 shift=(shift,),
             )
         )
-        grant = zone.take()
+        grant = zone.acquire()
         crossing = zone.wait(source="mwanza")
-        home = zone.wait()
+        local = zone.wait()
         zone.admission.release(grant, OK)
         self.assertEqual(ResultCode.SHIFT_CAP, crossing.error.code)
-        self.assertIsNotNone(home.grant)
+        self.assertIsNotNone(local.grant)
 
     def test_a_waiter_whose_servers_are_excluded_does_not_block(self):
+        """Guards against a retry that blocks the waiters behind it."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        grant = zone.take()
+        grant = zone.acquire()
         retry = zone.admission.enqueue(
             zone.work(), lambda: None, frozenset({"s1"})
         )
@@ -321,9 +329,9 @@
         self.assertIsNotNone(other.grant)
 
     def test_a_waiter_past_its_time_gets_no_slot(self):
-        """Guards against slots granted to requests that gave up."""
+        """Guards against slots granted to requests past their deadline."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        grant = zone.take()
+        grant = zone.acquire()
         late, next_one = zone.wait(remaining_s=0.5), zone.wait()
         zone.clock.advance(1.0)
         zone.admission.release(grant, OK)
@@ -331,16 +339,17 @@
         self.assertIsNotNone(next_one.grant)
 
     def test_no_wait_for_a_service_without_a_server_in_use(self):
-        """Guards against callers held until their deadline for nothing."""
+        """Guards against callers that wait in vain until their deadline."""
         zone = Zoned(state(server("s1", state=ServerState.DRAIN)))
         with self.assertRaises(ChiverunError) as caught:
             zone.wait()
         self.assertEqual(ResultCode.NO_CAPACITY, caught.exception.code)
 
-    def test_a_request_that_cannot_start_in_time_is_refused_at_once(self):
+    def test_a_request_that_cannot_start_in_time_is_rejected_at_once(self):
+        """Guards against requests that wait although they must fail."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        _learn(zone, READ, 0.1)
-        zone.take()
+        _record_samples(zone, READ, 0.1)
+        zone.acquire()
         for _ in range(3):
             zone.wait(remaining_s=0.6)
         with self.assertRaises(ChiverunError) as caught:
@@ -359,8 +368,8 @@
             )
         )
         zone.admission._limits.waiters_max = 3
-        zone.take_all()
-        zone.take_all(service="archive")
+        zone.acquire_all()
+        zone.acquire_all(service="archive")
         for request_class in (READ, BOOK, READ):
             zone.wait(request_class)
         with self.assertRaises(ChiverunError) as caught:
@@ -368,17 +377,18 @@
         self.assertEqual(ResultCode.QUEUE_FULL, caught.exception.code)
         zone.wait(service="archive")
 
-    def test_old_slow_samples_do_not_refuse_for_ever(self):
-        """Guards against a refusal that prevents its own correction."""
+    def test_old_slow_samples_do_not_reject_for_ever(self):
+        """Guards against rejections that allow no new samples."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        _learn(zone, READ, 1.0)
-        self.assertIsNone(zone.take(remaining_s=0.5))
+        _record_samples(zone, READ, 1.0)
+        self.assertIsNone(zone.acquire(remaining_s=0.5))
         zone.advance(10.0)
-        self.assertIsNotNone(zone.take(remaining_s=0.5))
+        self.assertIsNotNone(zone.acquire(remaining_s=0.5))
 
-    def test_threads_wait_and_are_woken(self):
+    def test_a_waiting_thread_is_woken(self):
+        """Guards against a thread that sleeps after its grant."""
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
-        grant = zone.take()
+        grant = zone.acquire()
         got = []
         thread = threading.Thread(
             target=lambda: got.append(zone.admission.acquire(zone.work()))
@@ -391,26 +401,27 @@
         self.assertEqual(1, len(got))
 
 
-class LearntLengthTest(unittest.TestCase):
+class OverdueClassTest(unittest.TestCase):
     def test_overdue_class_leaves_slots_to_others(self):
-        """Guards against a short class that runs long in all slots."""
+        """Guards against an overdue short class that fills all slots."""
         zone = Zoned(state(*[server(f"s{i}", long_slots=0) for i in "1234"]))
-        _learn(zone, READ, 0.01)
-        stuck = [zone.take() for _ in range(4)]
+        _record_samples(zone, READ, 0.01)
+        overdue = [zone.acquire() for _ in range(4)]
         zone.advance(0.5)
-        more = zone.take_all()
+        more = zone.acquire_all()
         self.assertEqual(8, len(more))
-        self.assertEqual(4, len(zone.take_all(BOOK)))
-        for grant in stuck + more:
+        self.assertEqual(4, len(zone.acquire_all(BOOK)))
+        for grant in overdue + more:
             zone.admission.release(grant, OK)
         zone.advance(2.0)
-        self.assertIsNotNone(zone.take())
+        self.assertIsNotNone(zone.acquire())
 
     def test_overdue_request_counts_as_long_for_its_server(self):
+        """Guards against more long requests than a server has slots for."""
         zone = Zoned(state(server("s1", slots=4, long_slots=1)))
-        _learn(zone, READ, 0.01)
-        grant = zone.take()
+        _record_samples(zone, READ, 0.01)
+        grant = zone.acquire()
         zone.advance(0.5)
-        self.assertIsNone(zone.take(EXPORT))
+        self.assertIsNone(zone.acquire(EXPORT))
         zone.admission.release(grant, OK)
-        self.assertIsNotNone(zone.take(EXPORT))
+        self.assertIsNotNone(zone.acquire(EXPORT))
--- a/tests/core/test_choice.py
+++ b/tests/core/test_choice.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a server, its health and learnt times."""
+"""Tests of server choice, server health and observed running times."""
 
 import random
 import unittest
@@ -35,7 +35,7 @@
 from tests.core.zones import Zoned
 
 OK = Answered(status=200, headers=(), body=b"")
-BAD = Answered(status=500, headers=(), body=b"")
+SERVER_ERROR = Answered(status=500, headers=(), body=b"")
 
 _SERVERS = st.lists(
     st.fixed_dictionaries(
@@ -53,7 +53,7 @@
 
 
 def _naive_allowed(rows: list[dict], index: int) -> bool:
-    """Say in plain words whether a server may be chosen at all."""
+    """Return whether a server may be chosen at all."""
     row = rows[index]
     return row["free"] and row["fits"] and row["out"] != "draining"
 
@@ -62,10 +62,11 @@
     @settings(derandomize=True, max_examples=500, deadline=None)
     @given(_SERVERS, st.integers(0, 99), st.booleans())
     def test_against_a_naive_choice(self, rows, seed, may_probe):
-        """The naive choice draws any allowed server, the real one a good one.
+        """Guards against the choice of an unusable server.
 
-        Never a server without a free slot, a drained or an excluded one;
-        ejected and slow ones only when there is no other to wait for.
+        Servers without a free slot, draining and excluded ones are never
+        chosen. Ejected and slow ones are chosen only if the service has no
+        normal server to wait for.
         """
         now = 1000.0
         table = {}
@@ -80,7 +81,7 @@
                 draining_until=until if row["out"] == "draining" else 0.0,
             )
             slots = ServerSlots(
-                server=None, mine=4, in_flight=row["in_flight"]
+                server=None, capacity=4, in_flight=row["in_flight"]
             )
             table[str(index)] = health, slots
             if row["free"]:
@@ -113,7 +114,11 @@
             self.assertEqual(60.0, rows[place]["age"])
 
     def test_quality_against_a_naive_choice(self):
-        """Two servers of ten run 10 times slower; count requests there."""
+        """Guards against requests to slow servers.
+
+        Two of ten servers are 10 times slower. They get less than a tenth of
+        the requests that a uniform random choice sends them.
+        """
         zone = Zoned(state(*[server(f"s{i}") for i in range(10)]))
         naive = random.Random(1)
         slow = {"s0", "s1"}
@@ -125,7 +130,7 @@
             for due, grant in [p for p in pending if p[0] <= now]:
                 zone.admission.release(grant, OK)
                 pending.remove((due, grant))
-            grant = zone.take()
+            grant = zone.acquire()
             is_slow_one = grant.server.name in slow
             counts["real"] += is_slow_one
             counts["naive"] += f"s{naive.randrange(10)}" in slow
@@ -133,17 +138,18 @@
         self.assertLess(counts["real"], 0.1 * counts["naive"])
 
     def test_the_faster_of_two_is_chosen(self):
+        """Guards against a choice that ignores slowness."""
         zone = Zoned(state(server("s1", slots=8), server("s2", slots=8)))
         row = zone.admission._health["s1"]
         row.slowness, row.measured_at = 2.5, zone.clock.monotonic()
-        names = [zone.take().server.name for _ in range(8)]
+        names = [zone.acquire().server.name for _ in range(8)]
         self.assertEqual(["s2"] * 8, names)
 
     def test_long_requests_do_not_make_a_server_look_slow(self):
-        """Guards against comparing servers by their mix of requests."""
+        """Guards against comparing servers by their mix of classes."""
         zone = Zoned(state(server("s1", long_slots=4), server("s2")))
         for request_class, seconds in ((READ, 0.01), (EXPORT, 0.5)) * 60:
-            grant = zone.take(request_class, remaining_s=9.0)
+            grant = zone.acquire(request_class, remaining_s=9.0)
             zone.advance(seconds)
             zone.admission.release(grant, OK)
         row = zone.admission._health["s1"]
@@ -155,23 +161,23 @@
         row = zone.admission._health["s1"]
         row.slowness, row.measured_at = 9.0, zone.clock.monotonic()
         zone.advance(0.1)
-        names = {g.server.name for g in zone.take_all(BOOK)}
+        names = {g.server.name for g in zone.acquire_all(BOOK)}
         self.assertEqual({"s2"}, names)
         zone.advance(20.0)
-        self.assertIn("s1", {g.server.name for g in zone.take_all(BOOK)})
+        self.assertIn("s1", {g.server.name for g in zone.acquire_all(BOOK)})
 
 
 class HealthTest(unittest.TestCase):
     @params(
         (OK, 0.01, 1, Eligibility.OPEN),
-        (BAD, 0.001, 2, Eligibility.EJECTED),
+        (SERVER_ERROR, 0.001, 2, Eligibility.EJECTED),
         (Reset(detail=""), 0.01, 3, Eligibility.EJECTED),
         (NotSent(detail=""), 0.001, 1, Eligibility.EJECTED),
         (Shed(reason=ShedReason.OVERLOAD), 0.01, 1, Eligibility.EJECTED),
         (Shed(reason=ShedReason.DRAINING), 0.01, 1, Eligibility.DRAINING),
         (Shed(reason=ShedReason.DEADLINE), 0.01, 5, Eligibility.OPEN),
         (TimedOut(), 2.0, 3, Eligibility.EJECTED),
-        # A caller's deadline of 5 ms says nothing about the server.
+        # A timeout at a caller's deadline of 5 ms is no sign of a failure.
         (TimedOut(), 0.005, 9, Eligibility.OPEN),
     )
     def test_standing_after_ends(self, end, latency_s, count, expected):
@@ -183,35 +189,40 @@
     def test_fast_errors_count_as_slow(self):
         """Guards against a broken server that attracts traffic."""
         row = ServerHealth(name="s1", samples=5)
-        record(row, BAD, 0.0001, 0.01, 1000.0)
+        record(row, SERVER_ERROR, 0.0001, 0.01, 1000.0)
         self.assertTrue(is_slow(row))
 
     def test_a_returning_server_starts_slowly(self):
-        """Guards against a cold server that gets its full share at once."""
+        """Guards against a cold server that gets its full share at once.
+
+        After an ejection only one request is admitted at first.
+        """
         zone = Zoned(state(server("s1", slots=8, long_slots=0)))
         for _ in range(3):
-            zone.admission.release(zone.take(), NotSent(detail="test"))
+            zone.admission.release(zone.acquire(), NotSent(detail="test"))
         zone.advance(2.1)
-        first = zone.take_all()
+        first = zone.acquire_all()
         self.assertEqual(1, len(first))
         zone.advance(SLOW_START_S)
-        self.assertEqual(7, len(zone.take_all()))
+        self.assertEqual(7, len(zone.acquire_all()))
 
     def test_a_new_server_of_a_running_instance_starts_slowly(self):
+        """Guards against a cold server that gets its full share at once."""
         zone = Zoned(state(server("s1", slots=1)))
-        zone.admission.release(zone.take(), OK)
+        zone.admission.release(zone.acquire(), OK)
         zone.state = state(server("s1", slots=1), server("s2", slots=8))
         zone.publish()
-        names = [g.server.name for g in zone.take_all()]
+        names = [g.server.name for g in zone.acquire_all()]
         self.assertEqual(1, names.count("s2"))
 
     def test_a_cancelled_exchange_is_no_sign_of_recovery(self):
-        """Guards against probes without end of a server that stays slow."""
+        """Guards against frequent probes of a server that stays slow."""
         row = ServerHealth(name="s1", slowness=9.0, measured_at=1000.0)
         observe_at_least(row, 0.031, 0.01, 1004.0)
         self.assertEqual(9.0, aged_slowness(row, 1004.0))
 
     def test_probes_get_rarer_while_a_server_stays_slow(self):
+        """Guards against a constant rate of probes that are slow."""
         row = ServerHealth(name="s1")
         now, gaps = 1000.0, []
         for _ in range(5):
@@ -223,7 +234,7 @@
         self.assertLess(4 * gaps[0], gaps[4])
 
     def test_load_reports_attract_no_traffic(self):
-        """Health rows have no field that a report could lower."""
+        """Guards against health that depends on delayed load reports."""
         names = set(ServerHealth.__dataclass_fields__)
         self.assertFalse([n for n in names if "load" in n or "report" in n])
 
@@ -252,10 +263,10 @@
 
 class EjectedTest(unittest.TestCase):
     def test_all_ejected_still_get_single_requests(self):
-        """Guards against a wrong ejection of all that stops a service."""
+        """Guards against a wrong ejection of all servers of a service."""
         zone = Zoned(state(server("s1"), server("s2")))
         for row in zone.admission._health.values():
             row.ejected_until = zone.clock.monotonic() + 10
-        self.assertEqual(2, len(zone.take_all()))
+        self.assertEqual(2, len(zone.acquire_all()))
         with self.assertRaises(ChiverunError):
             zone.admission.try_acquire(zone.work())
--- a/tests/core/test_grants.py
+++ b/tests/core/test_grants.py
@@ -1,4 +1,4 @@
-"""Tests of the slots that grants in use hold."""
+"""Tests of the slots held by grants."""
 
 import unittest
 
@@ -24,21 +24,21 @@
         self.table.slots.rebuild(servers, seats(), 4, _NOW)
         self.table.advance(_NOW)
 
-    def _take(self):
+    def _grant(self):
         work = Work(
             service="desk",
             request_class=READ,
             source_region="dar",
             deadline=_NOW + 2.0,
         )
-        return self.table.take(work, "s1", _NOW)
+        return self.table.allocate(work, "s1", _NOW)
 
     def _free(self) -> int:
         return self.table.slots.server("s1").free
 
     def test_slot_is_free_after_the_end_only(self) -> None:
         """Guards against a slot used twice while its request runs."""
-        grant = self._take()
+        grant = self._grant()
         self.assertEqual((1, 1), (self._free(), self.table.in_use()))
         self.assertTrue(self.table.give_back(grant))
         self.assertEqual((1, 0), (self._free(), self.table.in_use()))
@@ -48,18 +48,18 @@
         self.assertFalse(self.table.seat_in_use(grant.seat))
 
     def test_grant_is_given_back_once(self) -> None:
-        """Guards against a slot that is freed for another's request."""
-        grant = self._take()
+        """Guards against freeing a slot that another request uses."""
+        grant = self._grant()
         self.assertTrue(self.table.give_back(grant))
         self.assertFalse(self.table.give_back(grant))
 
     def test_occupied_slot_is_freed_at_its_time(self) -> None:
-        """Guards against work that runs beyond a server's slots.
+        """Guards against more requests than a server has slots.
 
-        After an unknown outcome the server may run the request until its
-        deadline.
+        After an unknown outcome the server may still run the request until
+        its deadline.
         """
-        grant = self._take()
+        grant = self._grant()
         self.table.give_back(grant)
         self.table.occupy(grant, _NOW + 2.25)
         self.table.advance(_NOW + 2.2)
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of failure detection."""
+"""Tests of failure detection and of the bounds of its tables."""
 
 import random
 import unittest
@@ -49,15 +49,20 @@
         (MemberState.DEAD, MemberState.ALIVE, 2, MemberState.ALIVE),
         (MemberState.SUSPECT, MemberState.DEAD, 1, MemberState.DEAD),
     )
-    def test_updates_in_any_order(self, state, news, number, after) -> None:
-        """A late update must not undo a refutation."""
+    def test_updates_in_any_order(
+        self, state, new_state, number, after
+    ) -> None:
+        """Guards against a delayed update that undoes a refutation."""
         table = _table("b")
         table.rows["b"].state = state
-        update = MemberUpdate(instance="b", incarnation=number, state=news)
+        update = MemberUpdate(
+            instance="b", incarnation=number, state=new_state
+        )
         membership.merge_update(table, update, 1.0)
         self.assertIs(after, table.rows["b"].state)
 
-    def test_silent_member_dies(self) -> None:
+    def test_silent_member_is_declared_dead(self) -> None:
+        """Guards against a failed member that stays alive or suspect."""
         table = _table("b")
         rng = random.Random(1)
         now = 0.0
@@ -70,7 +75,7 @@
         self.assertIs(MemberState.DEAD, table.rows["b"].state)
 
     def test_suspects_get_their_time_after_a_pause(self) -> None:
-        """A resumed process declared all its suspects dead at once."""
+        """Guards against a resumed process that declares suspects dead."""
         table = _table("b")
         table.rows["b"].state = MemberState.SUSPECT
         membership.reset_failure_detection(table, 100.0)
@@ -78,14 +83,21 @@
         self.assertIs(MemberState.SUSPECT, table.rows["b"].state)
 
     @params(
-        ("same life", "b-1", 5, False),
-        ("other life, ping sent before it was known", "b-2", 3, False),
-        ("other life", "b-2", 5, True),
+        ("same boot ID", "b-1", 5, False),
+        (
+            "other boot ID, ping sent before the first was known",
+            "b-2",
+            3,
+            False,
+        ),
+        ("other boot ID", "b-2", 5, True),
     )
-    def test_end_of_a_lifetime(
-        self, name, boot_id, sequence, is_ended
-    ) -> None:
-        """Only an answer from the address proves that a process ended."""
+    def test_end_of_a_process(self, name, boot_id, sequence, is_ended) -> None:
+        """Guards against taking a live process for ended.
+
+        Only an answer with another boot ID from the same address, to a ping
+        sent later, proves that a process has ended.
+        """
         table = _table()
         table.sequence = 4
         membership.merge_advert(table, _advert("b"), _ZONE, 0.0)
@@ -94,6 +106,7 @@
         self.assertEqual(is_ended, "b-1" in table.ended, name)
 
     def test_dead_member_that_answers_is_a_suspect(self) -> None:
+        """Guards against live members that stay dead."""
         table = _table("b")
         table.rows["b"].state = MemberState.DEAD
         membership.record_ack(table, _advert("b"), 1, 7.0)
@@ -103,16 +116,16 @@
         )
 
     def test_tables_are_bounded(self) -> None:
-        """72 zones of 67 instances must not all be kept."""
+        """Guards against rows for all instances of 72 zones of 67."""
         table = MemberTable()
         for number in range(72 * 67):
             advert = _advert(f"r{number}", zone=f"zone-{number % 72}")
             membership.merge_advert(table, advert, _ZONE, 0.0)
-        self.assertEqual(72 * membership.REMOTE_PER_ZONE, len(table.rows))
+        self.assertEqual(72 * membership.REMOTE_PER_ZONE_MAX, len(table.rows))
         newer = _advert("newer", zone="zone-0")
         self.assertFalse(membership.merge_advert(table, newer, _ZONE, 1.0))
         self.assertTrue(membership.merge_advert(table, newer, _ZONE, 11.0))
-        self.assertEqual(72 * membership.REMOTE_PER_ZONE, len(table.rows))
-        for number in range(2 * membership.ENDED_KEPT):
-            membership.note_ended(table, f"life-{number}")
-        self.assertEqual(membership.ENDED_KEPT, len(table.ended))
+        self.assertEqual(72 * membership.REMOTE_PER_ZONE_MAX, len(table.rows))
+        for number in range(2 * membership.ENDED_BOOTS_MAX):
+            membership.record_ended(table, f"boot-{number}")
+        self.assertEqual(membership.ENDED_BOOTS_MAX, len(table.ended))
--- a/tests/core/test_seats.py
+++ b/tests/core/test_seats.py
@@ -1,4 +1,4 @@
-"""Tests of the decisions about seats."""
+"""Tests of claims, transfers and records of seats."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 from chiverun.core.seats import keep_old_deadlines
 from chiverun.core.seats import lost_seats
 from chiverun.core.seats import newer_holders
-from chiverun.core.seats import OLD_CLASSES_MAX
+from chiverun.core.seats import OLD_DEADLINES_MAX
 from chiverun.core.seats import record_holder
 from chiverun.core.seats import SeatRecord
 from chiverun.core.seats import SEATS_MAX
@@ -99,19 +99,20 @@
         ),
     )
     def test_claims(self, name, owner, plan, expected) -> None:
-        """A wrong claim lets two instances use one seat."""
+        """Guards against wrong claims, by which two instances use a seat."""
         record = SeatRecord(owners={0: owner} if owner else {})
         claims = select_claims(record, _plan(**plan), _ME)
         self.assertEqual(expected, claims, name)
 
-    def test_seat_given_up_counts_as_used(self) -> None:
+    def test_released_seat_counts_as_used(self) -> None:
+        """Guards against opening a seat whose requests may still run."""
         record = SeatRecord(epochs={0: 5})
         self.assertEqual(_claim(5), select_claims(record, _plan(), _ME))
 
 
 class RecordTest(unittest.TestCase):
     def test_jobs_out_of_order(self) -> None:
-        """A retried write must not undo a later one."""
+        """Guards against a retried write that undoes a later one."""
         old, new = _owner(epoch=4), _owner(boot_id="c1", epoch=5)
         for order in ((old, new), (new, old)):
             record = SeatRecord()
@@ -123,9 +124,9 @@
         self.assertEqual(given_up, with_owners(given_up, {0: new}))
 
 
-class MarksTest(unittest.TestCase):
-    def test_the_later_mark_wins_everywhere(self) -> None:
-        """Two holders with equal epochs both kept the seat."""
+class KnownHoldersTest(unittest.TestCase):
+    def test_the_newer_holder_wins_in_any_order(self) -> None:
+        """Guards against two holders of equal epochs that both keep a seat."""
         one, two = SeatTable(), SeatTable()
         known_holders = [(4, "x"), (5, "x"), (5, "y")]
         for epoch, boot_id in known_holders:
@@ -142,7 +143,8 @@
         self.assertEqual((), newer_holders(one, (fresh,)))
 
     @params(-1, SEATS_MAX)
-    def test_marks_are_bounded(self, seat) -> None:
+    def test_holders_are_bounded(self, seat) -> None:
+        """Guards against memory that grows with invalid messages."""
         table = SeatTable()
         self.assertFalse(record_holder(table, seat, SeatHolder(1, "x")))
         self.assertEqual({}, table.known_holders)
@@ -159,7 +161,11 @@
         ({"state_since": 99.5, "acked_at": 0.0}, False),
     )
     def test_only_own_silence_counts(self, fields, is_ended) -> None:
-        """News of a death alone made live holders lose their seats."""
+        """Guards against live holders that lose their seats.
+
+        A member that others have declared dead may be alive, so this
+        instance's own pings must have failed as well.
+        """
         values = {
             "state": MemberState.DEAD,
             "state_since": 90.0,
@@ -189,7 +195,10 @@
         ("shorter deadline", {"classes": (SHORT,)}, 1.5),
     )
     def test_work_under_an_earlier_ticket(self, name, fields, least) -> None:
-        """Slots opened while work under an earlier ticket still ran."""
+        """Guards against slots that open too early after a ticket.
+
+        Requests under the earlier ticket may still run on them.
+        """
         table, old = SeatTable(), make_state()
         new = make_state(**fields)
         keep_old_deadlines(table, old, new, ZONE, 100.0)
@@ -201,7 +210,10 @@
         self.assertLess(late.short_opens_at, 204.0, name)
 
     def test_work_under_another_number_of_seats(self) -> None:
-        """Slots moved to seats of other holders while work still ran."""
+        """Guards against slots that open too early for another seat.
+
+        Requests of the earlier seat may still run on them.
+        """
         table, old, new = SeatTable(), make_state(), make_state(seats=8)
         table.held[0] = Held(epoch=1, short_opens_at=0.0, long_opens_at=0.0)
         keep_old_deadlines(table, old, new, ZONE, 100.0)
@@ -216,8 +228,8 @@
 
     def test_kept_deadlines_are_bounded(self) -> None:
         table = SeatTable()
-        for number in range(2 * OLD_CLASSES_MAX):
+        for number in range(2 * OLD_DEADLINES_MAX):
             old = make_state(long_slots=number % 2)
             new = make_state(long_slots=1 - number % 2)
             keep_old_deadlines(table, old, new, ZONE, 100.0)
-        self.assertEqual(OLD_CLASSES_MAX, len(table.old_classes))
+        self.assertEqual(OLD_DEADLINES_MAX, len(table.old_deadlines))
--- a/tests/core/test_waiting.py
+++ b/tests/core/test_waiting.py
@@ -13,7 +13,7 @@
 from chiverun.core.waiting import Waiter
 from chiverun.core.waiting import WaitQueues
 
-_REFUSED = ChiverunError(ResultCode.SHIFT_CAP, "refused")
+_REJECTED = ChiverunError(ResultCode.SHIFT_CAP, "rejected")
 _LATE = ChiverunError(ResultCode.DEADLINE_UNREACHABLE, "late")
 
 
@@ -23,7 +23,7 @@
         st.lists(
             st.tuples(
                 st.sampled_from("ab"),
-                st.sampled_from(["", "", "", "excluded", "refused", "late"]),
+                st.sampled_from(["", "", "", "excluded", "rejected", "late"]),
             ),
             max_size=30,
         ),
@@ -32,8 +32,8 @@
     def test_against_a_naive_queue(self, arrivals, slots):
         """Guards against blocked queues, lost waiters and unfair turns.
 
-        The naive queue serves all waiters in order of arrival and stops at
-        the first one that it cannot serve.
+        The naive queue serves waiters in order of arrival and stops at the
+        first one that it cannot serve.
         """
         queues = WaitQueues()
         waiters = []
@@ -50,8 +50,8 @@
         left = [slots]
 
         def grant(waiter):
-            if waiter.work == "refused":
-                raise _REFUSED
+            if waiter.work == "rejected":
+                raise _REJECTED
             if waiter.work == "excluded" or not left[0]:
                 return None
             left[0] -= 1
@@ -66,9 +66,11 @@
         self.assertGreaterEqual(len(granted), naive)
         self.assertEqual(min(slots, len(able)), len(granted))
         for name in "ab":
-            mine = [w for w in able if w.key[1] == name]
-            given_ = [w for w in mine if w.grant]
-            self.assertEqual(mine[: len(given_)], given_)
+            waiters_of_class = [w for w in able if w.key[1] == name]
+            granted_here = [w for w in waiters_of_class if w.grant]
+            self.assertEqual(
+                waiters_of_class[: len(granted_here)], granted_here
+            )
         counts = [sum(w.key[1] == name for w in granted) for name in "ab"]
         if abs(counts[0] - counts[1]) > 1:
             short = "ab"[counts[0] > counts[1]]
@@ -93,8 +95,8 @@
             max_size=200,
         )
     )
-    def test_against_a_plain_recount(self, steps):
-        """Guards against overdue counts that drift or are not given back."""
+    def test_against_a_plain_count(self, steps):
+        """Guards against overdue counts that drift or never fall."""
         table = OverdueTable()
         live: dict[int, float] = {}
         now, counted = 0.0, 0
@@ -109,9 +111,9 @@
             elif step == "wait":
                 now += value
             counted += len(table.advance(now))
-            plain = sum(due <= now for due in live.values())
-            self.assertEqual(plain, counted)
-            if plain >= SUSPECT_MIN:
+            expected = sum(due <= now for due in live.values())
+            self.assertEqual(expected, counted)
+            if expected >= SUSPECT_MIN:
                 self.assertTrue(table.is_suspect(("desk", "a"), 10, now))
 
     def test_ended_requests_are_forgotten(self):
@@ -120,4 +122,4 @@
         for number in range(1000):
             table.watch(number, ("desk", "a"), "s1", 9.0)
             table.end(number)
-        self.assertLess(len(table._due), 100)
+        self.assertLess(len(table._due_times), 100)
