--- a/chiverun/core/edgemessages.py
+++ b/chiverun/core/edgemessages.py
@@ -7,19 +7,19 @@
 from chiverun.core.catalog import Machine
 from chiverun.core.catalog import Revision
 from chiverun.core.ids import Address
+from chiverun.core.ids import BootId
 from chiverun.core.ids import InstanceId
-from chiverun.core.ids import LifeId
-from chiverun.core.replica import Versioned
+from chiverun.core.replica import VersionedRecord
 
 
-class Beat(msgspec.Struct, frozen=True, kw_only=True, tag="b"):
+class Heartbeat(msgspec.Struct, frozen=True, kw_only=True, tag="b"):
     """Heartbeat of an edge instance.
 
     `reads_store` is whether its last read of the store succeeded.
     """
 
     machine: Machine
-    life: LifeId
+    boot_id: BootId = msgspec.field(name="life")
     leaving: bool
     reads_store: bool
 
@@ -33,10 +33,10 @@
     """
 
     sender: InstanceId
-    life: LifeId
+    boot_id: BootId = msgspec.field(name="life")
     since: Revision
     as_of: Revision
-    items: list[Versioned]
+    items: list[VersionedRecord]
     lapse_left_s: float
     live: list[InstanceId] | None = None
 
@@ -52,10 +52,10 @@
     """Every record as of a revision."""
 
     as_of: Revision
-    items: list[Versioned]
+    items: list[VersionedRecord]
 
 
-EdgeMessage = Beat | Update | Pull | Snapshot
+EdgeMessage = Heartbeat | Update | Pull | Snapshot
 
 # Compression does not pay for smaller messages.
 COMPRESS_BYTES_MIN = 512
--- a/chiverun/core/messages.py
+++ b/chiverun/core/messages.py
@@ -11,8 +11,8 @@
 from chiverun.core.errors import ChiverunError
 from chiverun.core.errors import ResultCode
 from chiverun.core.ids import Address
+from chiverun.core.ids import BootId
 from chiverun.core.ids import InstanceId
-from chiverun.core.ids import LifeId
 from chiverun.core.ids import SeatIndex
 from chiverun.core.ids import ServerName
 from chiverun.core.ids import ServiceName
@@ -44,12 +44,12 @@
 class Advert(_Record):
     """Self-description of an instance, ordered by (incarnation, sequence).
 
-    `room` is the number of free slots by service, `age_ms` the time since
-    the instance created the advert.
+    `free_slots` is their number by service, `age_ms` the time since the
+    instance created the advert.
     """
 
     instance: InstanceId
-    life: LifeId
+    boot_id: BootId
     incarnation: int
     sequence: int
     zone: ZoneName
@@ -59,7 +59,7 @@
     peer: Address
     leaving: bool
     seats: tuple[SeatClaim, ...]
-    room: dict[ServiceName, int]
+    free_slots: dict[ServiceName, int]
     number: int
     age_ms: int = 0
 
@@ -72,7 +72,7 @@
     state: MemberState
 
 
-class DrainSign(_Record):
+class DrainNotice(_Record):
     """A backend server that has announced that it is shutting down."""
 
     server: ServerName
@@ -82,17 +82,17 @@
 class Gossip(_Record):
     """Payload of every ping and acknowledgement.
 
-    `marks_digest` is a hash of the seat holders known to the sender in its
+    `holders_digest` is a hash of the seat holders known to the sender in its
     zone.
     """
 
     sender: Advert
     number: int
     digest: str
-    marks_digest: int = 0
+    holders_digest: int = 0
     updates: tuple[MemberUpdate, ...] = ()
     adverts: tuple[Advert, ...] = ()
-    draining: tuple[DrainSign, ...] = ()
+    draining: tuple[DrainNotice, ...] = ()
 
 
 class _Message(
@@ -163,7 +163,7 @@
     """Requests seats from an instance that holds more of them."""
 
     instance: InstanceId
-    life: LifeId
+    boot_id: BootId
     peer: Address
     held: int
 
@@ -179,35 +179,35 @@
     seat: SeatIndex
     epoch: int
     instance: InstanceId
-    life: LifeId
-    giver: Address
+    boot_id: BootId
+    previous_holder: Address
     short_ms: int
     long_ms: int
     sent_epoch_ms: int
 
 
-class SeatTaken(_Message, tag=12):
+class SeatTransferAck(_Message, tag=12):
     """Acknowledges a seat transfer to the previous holder."""
 
     seat: SeatIndex
     epoch: int
-    life: LifeId
+    boot_id: BootId
 
 
-class SeatMark(_Record):
+class SeatHolderRecord(_Record):
     """The latest holder of a seat known to the sender."""
 
     seat: SeatIndex
     epoch: int
-    life: LifeId
+    boot_id: BootId
 
 
-class SeatMarks(_Message, tag=11):
+class SeatHolderRecords(_Message, tag=11):
     """Seat holders of a zone, some of which the receiver does not know."""
 
     zone: ZoneName
     sender: Address
-    marks: tuple[SeatMark, ...]
+    known_holders: tuple[SeatHolderRecord, ...]
 
 
 Message = (
@@ -221,8 +221,8 @@
     | StateChunk
     | SeatRequest
     | SeatTransfer
-    | SeatMarks
-    | SeatTaken
+    | SeatHolderRecords
+    | SeatTransferAck
 )
 
 _ENCODER = msgspec.msgpack.Encoder(enc_hook=encode_hook)
--- a/chiverun/core/replica.py
+++ b/chiverun/core/replica.py
@@ -37,7 +37,7 @@
 Record = DesiredState | Server | Machine | Evacuation | Unreadable
 
 
-class Versioned(msgspec.Struct, frozen=True, kw_only=True):
+class VersionedRecord(msgspec.Struct, frozen=True, kw_only=True):
     """A record at a revision of the store; None if it has been deleted."""
 
     key: str
@@ -72,16 +72,16 @@
 
     def apply(
         self,
-        items: list[Versioned],
+        items: list[VersionedRecord],
         *,
         now: float,
         lapse_until: float = float("-inf"),
-    ) -> list[Versioned]:
+    ) -> list[VersionedRecord]:
         """Merge records; return those that changed the replica.
 
         Parameters
         ----------
-        items : list[Versioned]
+        items : list[VersionedRecord]
         now : float
             Monotonic seconds.
         lapse_until : float
@@ -99,7 +99,7 @@
 
     def _put(
         self,
-        item: Versioned,
+        item: VersionedRecord,
         row: Row | None,
         now: float,
         lapse_until: float,
@@ -142,12 +142,12 @@
 
     def replace(
         self,
-        items: list[Versioned],
+        items: list[VersionedRecord],
         as_of: Revision,
         *,
         now: float,
         lapse_until: float = float("-inf"),
-    ) -> list[Versioned]:
+    ) -> list[VersionedRecord]:
         """Merge a complete listing; delete the records that it lacks.
 
         The desired state is never deleted. A deletion found this way has no
@@ -155,7 +155,7 @@
         """
         present = {item.key for item in items}
         gone = [
-            Versioned(key=key, revision=as_of)
+            VersionedRecord(key=key, revision=as_of)
             for key, row in self.rows.items()
             if key not in present
             and row.record is not None
@@ -183,7 +183,7 @@
                 del self.rows[key]
         return dropped
 
-    def changed_after(self, revision: Revision) -> list[Versioned]:
+    def changed_after(self, revision: Revision) -> list[VersionedRecord]:
         """Return records and deletions that changed after a revision."""
         return [
             _versioned(key, row)
@@ -191,7 +191,7 @@
             if row.content_revision > revision
         ]
 
-    def listing(self) -> list[Versioned]:
+    def listing(self) -> list[VersionedRecord]:
         """Return all rows that have a record in the store."""
         return [
             _versioned(key, row)
@@ -235,9 +235,9 @@
         )
 
 
-def _versioned(key: str, row: Row) -> Versioned:
+def _versioned(key: str, row: Row) -> VersionedRecord:
     is_lapsed = row.lapsed_until > float("-inf")
-    return Versioned(
+    return VersionedRecord(
         key=key,
         revision=row.revision,
         record=None if is_lapsed else row.record,
--- a/chiverun/core/seats.py
+++ b/chiverun/core/seats.py
@@ -16,20 +16,20 @@
 import xxhash
 
 from chiverun.core.admission import CLOCK_MARGIN_S
-from chiverun.core.ids import LifeId
+from chiverun.core.ids import BootId
 from chiverun.core.ids import SeatIndex
 from chiverun.core.ids import ZoneName
 from chiverun.core.membership import CHECKS
 from chiverun.core.membership import SUSPECT_S
 from chiverun.core.messages import MemberState
-from chiverun.core.messages import SeatMark
+from chiverun.core.messages import SeatHolderRecord
 from chiverun.core.shift import SHIFT_WINDOW_S
 from chiverun.core.tables import Held
-from chiverun.core.tables import Mark
 from chiverun.core.tables import Member
 from chiverun.core.tables import MemberTable
 from chiverun.core.tables import OldClasses
 from chiverun.core.tables import Owner
+from chiverun.core.tables import SeatHolder
 from chiverun.core.tables import SeatTable
 from chiverun.core.ticket import Length
 from chiverun.core.ticket import Server
@@ -82,8 +82,8 @@
 class ClaimPlan:
     """What a claimant asks the store worker to claim.
 
-    `ended` are process lifetimes that take no more requests. `marks` are the
-    latest holders known of the seats, which the record may not show yet;
+    `ended` are process lifetimes that take no more requests. `known_holders`
+    are the latest holders of the seats, which the record may not show yet;
     `overdue` seats have been without a holder for `UNCOVERED_S`. Of `live`
     instances this one has the rank `rank`; it prefers every `live`-th seat,
     since neighbouring seats share the slots of one server.
@@ -93,8 +93,8 @@
     most: int
     rank: int
     live: int
-    ended: frozenset[LifeId]
-    marks: Mapping[SeatIndex, Mark]
+    ended: frozenset[BootId]
+    known_holders: Mapping[SeatIndex, SeatHolder]
     overdue: frozenset[SeatIndex]
 
 
@@ -112,44 +112,47 @@
     return math.ceil(seats / max(1, live))
 
 
-def note_mark(table: SeatTable, seat: SeatIndex, mark: Mark) -> bool:
+def record_holder(table: SeatTable, seat: SeatIndex, mark: SeatHolder) -> bool:
     """Take over a mark; return whether it is later than the known one."""
-    known = table.marks.get(seat)
+    known = table.known_holders.get(seat)
     if not 0 <= seat < SEATS_MAX or (known is not None and mark <= known):
         return False
-    table.marks[seat] = mark
+    table.known_holders[seat] = mark
     table.digest = None
     return True
 
 
-def marks_digest(table: SeatTable) -> int:
+def holders_digest(table: SeatTable) -> int:
     """Return a hash of the marks, 0 if there are none."""
     if table.digest is None:
-        marks = sorted((s, m.epoch, m.life) for s, m in table.marks.items())
-        data = msgspec.msgpack.encode(marks) if marks else b""
+        known_holders = sorted(
+            (s, m.epoch, m.boot_id) for s, m in table.known_holders.items()
+        )
+        data = msgspec.msgpack.encode(known_holders) if known_holders else b""
         table.digest = xxhash.xxh32_intdigest(data) if data else 0
     return table.digest
 
 
-def later_marks(
-    table: SeatTable, marks: Iterable[SeatMark]
-) -> tuple[SeatMark, ...]:
+def newer_holders(
+    table: SeatTable, known_holders: Iterable[SeatHolderRecord]
+) -> tuple[SeatHolderRecord, ...]:
     """Return the known marks that are later than the given ones."""
     return tuple(
-        SeatMark(seat=m.seat, epoch=known.epoch, life=known.life)
-        for m in marks
-        if (known := table.marks.get(m.seat)) is not None
-        and known > Mark(m.epoch, m.life)
+        SeatHolderRecord(seat=m.seat, epoch=known.epoch, boot_id=known.boot_id)
+        for m in known_holders
+        if (known := table.known_holders.get(m.seat)) is not None
+        and known > SeatHolder(m.epoch, m.boot_id)
     )
 
 
-def lost_seats(table: SeatTable, life: LifeId) -> set[SeatIndex]:
+def lost_seats(table: SeatTable, boot_id: BootId) -> set[SeatIndex]:
     """Return the seats held or being released that a later holder has."""
     mine = {**table.releasing, **table.held}
     return {
         seat
         for seat, held in mine.items()
-        if seat in table.marks and table.marks[seat] > Mark(held.epoch, life)
+        if seat in table.known_holders
+        and table.known_holders[seat] > SeatHolder(held.epoch, boot_id)
     }
 
 
@@ -166,16 +169,16 @@
 
 def ended_lives(
     members: MemberTable, zone: ZoneName, now: float
-) -> frozenset[LifeId]:
+) -> frozenset[BootId]:
     """Return the lifetimes that ended or were silent for the dead time.
 
     A member that others declared dead counts only after this instance's own
     pings to it stayed without an answer.
     """
     silent = {
-        row.life
+        row.boot_id
         for row in members.in_zone(zone)
-        if row.life is not None
+        if row.boot_id is not None
         and row.state is MemberState.DEAD
         and now - row.state_since >= DEAD_BEFORE_CLAIM_S
         and now - row.measured_at >= SUSPECT_S
@@ -207,17 +210,17 @@
         plan.missing, key=lambda s: (s % plan.live != plan.rank, s)
     ):
         owner = record.owners.get(seat)
-        is_mine = owner is not None and owner.life == me.life
+        is_mine = owner is not None and owner.boot_id == me.boot_id
         if len(claims) >= plan.most and not is_mine:
             continue
         if owner is not None and not _has_ended(owner, plan, me):
             continue
-        mark = plan.marks.get(seat, Mark(0, LifeId("")))
+        mark = plan.known_holders.get(seat, SeatHolder(0, BootId("")))
         epoch = record.epoch(seat)
         if (
             mark.epoch > epoch
-            and mark.life not in plan.ended
-            and mark.life != me.life
+            and mark.boot_id not in plan.ended
+            and mark.boot_id != me.boot_id
             and seat not in plan.overdue
         ):
             continue
@@ -233,8 +236,8 @@
     # address is bound by one process at a time. The instance's name alone
     # proves nothing: a replacement elsewhere may have the same name.
     return (
-        owner.life in plan.ended
-        or me.life == owner.life
+        owner.boot_id in plan.ended
+        or me.boot_id == owner.boot_id
         or (owner.peer == me.peer)
     )
 
@@ -273,7 +276,7 @@
     return max(deadlines, default=0) / 1000.0
 
 
-def note_old_classes(
+def keep_old_deadlines(
     table: SeatTable,
     old: "State",
     new: "State",
@@ -295,8 +298,8 @@
     until = now + max(short_s, long_s) + CLOCK_MARGIN_S
     if is_reseated:
         for held in table.held.values():
-            held.short_from = max(held.short_from, until)
-            held.long_from = max(held.long_from, until)
+            held.short_opens_at = max(held.short_opens_at, until)
+            held.long_opens_at = max(held.long_opens_at, until)
     if (
         is_relaid
         or is_reseated
@@ -341,23 +344,23 @@
     """Return the held seat, opening when no earlier work can still run."""
     old_classes = [o for o in table.old_classes if o.until > now]
     if not claim.was_used and not any(o.is_reseated for o in old_classes):
-        return Held(epoch=claim.epoch, short_from=now, long_from=now)
+        return Held(epoch=claim.epoch, short_opens_at=now, long_opens_at=now)
     short_s = longest_deadline_s(state, Length.SHORT)
     long_s = longest_deadline_s(state, Length.LONG)
     for old in old_classes:
         long_s = max(long_s, old.long_s)
         short_s = max(short_s, long_s if old.is_relaid else old.short_s)
     margin_s = CLOCK_MARGIN_S + NEWS_MARGIN_S
-    short_from = now + max(short_s + margin_s, SHIFT_WINDOW_S)
+    short_opens_at = now + max(short_s + margin_s, SHIFT_WINDOW_S)
     return Held(
         epoch=claim.epoch,
-        short_from=short_from,
-        long_from=max(short_from, now + long_s + margin_s),
+        short_opens_at=short_opens_at,
+        long_opens_at=max(short_opens_at, now + long_s + margin_s),
     )
 
 
 def held_after_transfer(
-    epoch: int, now: float, short_from: float, long_from: float
+    epoch: int, now: float, short_opens_at: float, long_opens_at: float
 ) -> Held:
     """Return a seat handed over by its idle holder.
 
@@ -368,8 +371,8 @@
     opens_at = now + SHIFT_WINDOW_S
     return Held(
         epoch=epoch,
-        short_from=max(opens_at, short_from),
-        long_from=max(opens_at, long_from),
+        short_opens_at=max(opens_at, short_opens_at),
+        long_opens_at=max(opens_at, long_opens_at),
     )
 
 
--- a/chiverun/core/snapshot.py
+++ b/chiverun/core/snapshot.py
@@ -17,15 +17,15 @@
 class EntryAddresses:
     """Addresses (``ip:port``), free slots and seats of an instance.
 
-    `room` is the number of free slots by service; `room` and `seats` were
-    measured at `measured_at` (monotonic seconds of this instance).
+    `free_slots` is their number by service. It and `seats` were measured at
+    `measured_at` (monotonic seconds of this instance).
     """
 
     instance: InstanceId
     lookup: Address
     entry: Address
     forward: Address
-    room: Mapping[ServiceName, int]
+    free_slots: Mapping[ServiceName, int]
     measured_at: float
     seats: tuple[SeatIndex, ...] = ()
 
@@ -34,7 +34,7 @@
 class ZoneView:
     """Instances and free slots of a zone.
 
-    `room` is the number of free slots by service at `measured_at`
+    `free_slots` is the number of free slots by service at `measured_at`
     (monotonic seconds of this instance). A drained zone stays listed, since
     the issuer of a key may be in it.
     """
@@ -42,7 +42,7 @@
     zone: ZoneName
     region: RegionName
     instances: tuple[EntryAddresses, ...]
-    room: Mapping[ServiceName, int]
+    free_slots: Mapping[ServiceName, int]
     measured_at: float
     is_drained: bool = False
 
@@ -51,14 +51,14 @@
 class HeldSeat:
     """A seat held by this instance.
 
-    Its slots open to short requests at `short_from` and to long ones at
-    `long_from` (monotonic seconds), when no request of an earlier holder can
-    still be running.
+    Its slots open to short requests at `short_opens_at` and to long ones at
+    `long_opens_at` (monotonic seconds), when no request of an earlier holder
+    can still be running.
     """
 
     index: SeatIndex
-    short_from: float
-    long_from: float
+    short_opens_at: float
+    long_opens_at: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/chiverun/core/tables.py
+++ b/chiverun/core/tables.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from chiverun.core.ids import Address
+from chiverun.core.ids import BootId
 from chiverun.core.ids import InstanceId
-from chiverun.core.ids import LifeId
 from chiverun.core.ids import SeatIndex
 from chiverun.core.ids import ServerName
 from chiverun.core.ids import ZoneName
@@ -21,7 +21,7 @@
 
     `advert` is None for an instance known only from the seat record.
     `measured_at` is when its advert was made. `noted_sequence` is the number
-    of the last ping sent before `life` was learned; `synced_sequence` that
+    of the last ping sent before `boot_id` was learned; `synced_sequence` that
     of the last ping whose acknowledgement showed equal seat marks. `checks`
     counts the pings since the member was declared dead.
     """
@@ -30,7 +30,7 @@
     zone: ZoneName
     peer: Address
     incarnation: int
-    life: LifeId | None = None
+    boot_id: BootId | None = None
     state: MemberState = MemberState.ALIVE
     state_since: float = 0.0
     acked_at: float = float("-inf")
@@ -87,7 +87,7 @@
     relayed: dict[int, tuple[Address, int]] = dataclasses.field(
         default_factory=dict
     )
-    ended: dict[LifeId, None] = dataclasses.field(default_factory=dict)
+    ended: dict[BootId, None] = dataclasses.field(default_factory=dict)
     sequence: int = 0
     next_probe_at: float = 0.0
     expired_at: float = float("-inf")
@@ -125,8 +125,8 @@
     """A seat this instance holds; slots open at the given times."""
 
     epoch: int
-    short_from: float
-    long_from: float
+    short_opens_at: float
+    long_opens_at: float
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -138,8 +138,8 @@
     """
 
     epoch: int
-    short_from: float
-    long_from: float
+    short_opens_at: float
+    long_opens_at: float
     receiver: InstanceId | None
     is_published: bool = False
 
@@ -149,10 +149,10 @@
     """A seat handed over, until the receiver is seen to hold it."""
 
     epoch: int
-    short_from: float
-    long_from: float
+    short_opens_at: float
+    long_opens_at: float
     receiver: InstanceId
-    life: LifeId
+    boot_id: BootId
     sent_at: float = float("-inf")
 
 
@@ -160,7 +160,7 @@
     """The holder of a seat in the store's record."""
 
     instance: InstanceId
-    life: LifeId
+    boot_id: BootId = msgspec.field(name="life")
     incarnation: int
     peer: Address
     epoch: int
@@ -183,24 +183,24 @@
 
 
 @dataclasses.dataclass(frozen=True, order=True)
-class Mark:
+class SeatHolder:
     """The latest holder known of a seat; the greater mark is the later."""
 
     epoch: int
-    life: LifeId
+    boot_id: BootId
 
 
 @dataclasses.dataclass(kw_only=True)
 class SeatTable:
     """Seats of this instance.
 
-    `marks` holds the latest holder ever heard of for each seat, `digest` a
-    hash of them (None when to be computed); `taken` the epochs of transfers
-    that this instance has taken, so that it takes none twice. `news` are
-    seats gained lately, with the number of times left to tell the zone.
+    `known_holders` has the latest holder ever heard of for each seat, `digest`
+    a hash of them (None when to be computed); `taken` the epochs of transfers
+    that this instance has taken, so that it takes none twice. `gained_seats`
+    are seats gained lately, with the number of times left to tell the zone.
     While `suspended_at` is set, the seats may not be used; acknowledgements
     of pings numbered above `suspended_sequence` were made after the pause.
-    `unwritten` and `ungiven` await being written to the store's record.
+    `unwritten` and `unwritten_releases` await being written to the record.
     """
 
     held: dict[SeatIndex, Held] = dataclasses.field(default_factory=dict)
@@ -210,11 +210,15 @@
     transfers: dict[SeatIndex, Transfer] = dataclasses.field(
         default_factory=dict
     )
-    marks: dict[SeatIndex, Mark] = dataclasses.field(default_factory=dict)
+    known_holders: dict[SeatIndex, SeatHolder] = dataclasses.field(
+        default_factory=dict
+    )
     digest: int | None = None
     taken: dict[SeatIndex, int] = dataclasses.field(default_factory=dict)
-    news: dict[SeatIndex, int] = dataclasses.field(default_factory=dict)
-    news_at: float = float("-inf")
+    gained_seats: dict[SeatIndex, int] = dataclasses.field(
+        default_factory=dict
+    )
+    gained_announced_at: float = float("-inf")
     uncovered_since: dict[SeatIndex, float] = dataclasses.field(
         default_factory=dict
     )
@@ -228,7 +232,9 @@
     read_pending_since: float | None = None
     read_at: float = float("-inf")
     unwritten: dict[SeatIndex, Owner] = dataclasses.field(default_factory=dict)
-    ungiven: dict[SeatIndex, int] = dataclasses.field(default_factory=dict)
+    unwritten_releases: dict[SeatIndex, int] = dataclasses.field(
+        default_factory=dict
+    )
     write_pending_since: float | None = None
     write_at: float = float("-inf")
     old_classes: list[OldClasses] = dataclasses.field(default_factory=list)
--- a/chiverun/core/ticketlog.py
+++ b/chiverun/core/ticketlog.py
@@ -17,10 +17,10 @@
 from chiverun.core.ticketcheck import check_ticket
 from chiverun.core.ticketconflict import check_not_behind
 from chiverun.core.ticketconflict import check_same_history
-from chiverun.core.ticketconflict import InForce
 from chiverun.core.ticketconflict import lost_race
 from chiverun.core.ticketconflict import number_taken
 from chiverun.core.ticketconflict import outcome_unknown
+from chiverun.core.ticketconflict import ReportedState
 from chiverun.core.ticketentry import apply_entry
 from chiverun.core.ticketentry import encode_entry
 from chiverun.core.ticketentry import Entry
@@ -132,7 +132,7 @@
         return state
 
     def submit(
-        self, ticket: Ticket, submission: str, in_force: list[InForce]
+        self, ticket: Ticket, submission: str, in_force: list[ReportedState]
     ) -> Entry:
         """Check a ticket and append it to the log.
 
@@ -160,7 +160,7 @@
         """
         return self._records.write_base(state, is_forced=is_forced)
 
-    def repair(self, state: State, recent: list[Entry]) -> bool:
+    def restore_head(self, state: State, recent: list[Entry]) -> bool:
         """Write accepted tickets back to a store that has lost them.
 
         Parameters
@@ -196,7 +196,7 @@
             self._cover_by_base(state)
         return self._store.put(HEAD_KEY, encode_entry(newest), cas=head.index)
 
-    def mend(self, state: State) -> bool:
+    def replace_unloadable_base(self, state: State) -> bool:
         """Replace the base if the log cannot be loaded from it.
 
         Return whether a new base has been written. Nothing is written unless
@@ -226,7 +226,7 @@
             )
 
     def _submit(
-        self, ticket: Ticket, submission: str, in_force: list[InForce]
+        self, ticket: Ticket, submission: str, in_force: list[ReportedState]
     ) -> Entry:
         head = self.head()
         earlier = self._accepted(ticket, submission, head)
--- a/chiverun/platform/dialect.py
+++ b/chiverun/platform/headercodec.py
@@ -4,9 +4,9 @@
 from chiverun.core.ids import ServerName
 from chiverun.integrations.asyncserver import Headers
 from chiverun.integrations.asyncserver import IncomingRequest
-from chiverun.runtime.dialect import RequestFacts
-from chiverun.runtime.dialect import ResponseFacts
-from chiverun.runtime.dialect import ServerLoad
+from chiverun.runtime.headercodec import RequestMetadata
+from chiverun.runtime.headercodec import ResponseMetadata
+from chiverun.runtime.headercodec import ServerLoad
 
 _REQUEST_ID = "x-chiverun-request-id"
 _AFFINITY_KEY = "x-chiverun-affinity-key"
@@ -22,19 +22,19 @@
 _DEADLINE_MS_MAX = 3_600_000
 
 
-class PlatformDialect:
+class PlatformHeaderCodec:
     """Reads and writes the platform's own headers."""
 
-    def request_facts(self, request: IncomingRequest) -> RequestFacts:
+    def request_metadata(self, request: IncomingRequest) -> RequestMetadata:
         """Return what a client's headers say."""
-        return RequestFacts(
+        return RequestMetadata(
             request_id=request.header(_REQUEST_ID) or "",
             affinity_key=request.header(_AFFINITY_KEY) or "",
             deadline_s=_deadline_s(request.header(_DEADLINE_MS)),
         )
 
     def request_headers(
-        self, headers: Headers, server: Server, left_s: float
+        self, headers: Headers, server: Server, remaining_s: float
     ) -> Headers:
         """Return a request's headers as the server shall get them."""
         kept = [
@@ -44,14 +44,16 @@
         ]
         return [
             *kept,
-            (_DEADLINE_MS, str(max(1, int(left_s * 1000)))),
+            (_DEADLINE_MS, str(max(1, int(remaining_s * 1000)))),
             (_EXPECTED_SERVER, server.name),
         ]
 
-    def response_facts(self, status: int, headers: Headers) -> ResponseFacts:
+    def response_metadata(
+        self, status: int, headers: Headers
+    ) -> ResponseMetadata:
         """Return what a server's headers say."""
         row = {name.lower(): value for name, value in headers}
-        return ResponseFacts(
+        return ResponseMetadata(
             request_id=row.get(_REQUEST_ID),
             is_stamped=_STAMP in row,
             not_run=_NOT_RUN in row or status == 421,
--- a/chiverun/runtime/control.py
+++ b/chiverun/runtime/control.py
@@ -17,10 +17,10 @@
 from chiverun.core.messages import Ping
 from chiverun.core.messages import PingRequest
 from chiverun.core.messages import Pull
-from chiverun.core.messages import SeatMarks
+from chiverun.core.messages import SeatHolderRecords
 from chiverun.core.messages import SeatRequest
-from chiverun.core.messages import SeatTaken
 from chiverun.core.messages import SeatTransfer
+from chiverun.core.messages import SeatTransferAck
 from chiverun.core.messages import StateChunk
 from chiverun.core.messages import Tickets
 from chiverun.runtime import drainsystem
@@ -32,25 +32,25 @@
 from chiverun.runtime import ticketspread
 from chiverun.runtime.context import ControlContext
 from chiverun.runtime.context import Identity
+from chiverun.runtime.events import BeginStop
 from chiverun.runtime.events import EntriesRead
 from chiverun.runtime.events import Event
-from chiverun.runtime.events import HandOver
 from chiverun.runtime.events import HeadForked
-from chiverun.runtime.events import Leave
 from chiverun.runtime.events import SeatsClaimed
 from chiverun.runtime.events import SeatsRead
 from chiverun.runtime.events import SeatsWritten
 from chiverun.runtime.events import ServersLeaving
 from chiverun.runtime.events import StateRead
+from chiverun.runtime.events import TransferSeats
 
 __all__ = [
     "TICK_S",
+    "BeginStop",
     "ControlPlane",
     "Event",
-    "HandOver",
     "Identity",
-    "Leave",
     "ServersLeaving",
+    "TransferSeats",
 ]
 
 TICK_S = 0.1
@@ -66,7 +66,7 @@
     def tick(self) -> None:
         """Run all systems once and publish a snapshot."""
         now = self.clock.monotonic()
-        seatsystem.run_pause(self, now)
+        seatsystem.suspend_after_pause(self, now)
         self.ticked_at = now
         membersystem.run_members(self, now)
         drainsystem.run_drains(self, now)
@@ -75,7 +75,7 @@
 
     def receive(self, message: Message) -> None:
         """Handle a message of a peer."""
-        seatsystem.run_pause(self, self.clock.monotonic())
+        seatsystem.suspend_after_pause(self, self.clock.monotonic())
         match message:
             case Ping(sequence=sequence, gossip=content):
                 gossip.merge(self, content)
@@ -100,14 +100,14 @@
                 seattransfer.on_seat_request(self, message)
             case SeatTransfer():
                 seattransfer.on_seat_transfer(self, message)
-            case SeatTaken():
+            case SeatTransferAck():
                 seattransfer.on_seat_taken(self, message)
-            case SeatMarks():
+            case SeatHolderRecords():
                 gossip.on_marks(self, message)
 
     def handle(self, event: Event) -> None:
         """Handle a report of the store worker or an order of the instance."""
-        seatsystem.run_pause(self, self.clock.monotonic())
+        seatsystem.suspend_after_pause(self, self.clock.monotonic())
         match event:
             case SeatsClaimed():
                 seatsystem.on_claimed(self, event)
@@ -123,20 +123,23 @@
                 ticketspread.adopt_state(self, state)
             case ServersLeaving(servers=servers):
                 drainsystem.note_drains(self, servers, self.clock.monotonic())
-            case Leave():
+            case BeginStop():
                 self.is_leaving = True
                 publishing.publish(self, self.clock.monotonic())
                 gossip.ping_zone(self)
                 gossip.ping_remote(self)
-            case HandOver():
+            case TransferSeats():
                 self.is_handing_over = True
 
     @property
     def has_handed_over(self) -> bool:
-        """Whether no seat is left here after `HandOver`."""
+        """Whether no seat is left here after `TransferSeats`."""
         seats = self.seats
         return self.is_handing_over and not (
-            seats.held or seats.releasing or seats.transfers or seats.ungiven
+            seats.held
+            or seats.releasing
+            or seats.transfers
+            or seats.unwritten_releases
         )
 
     def hears_peers(self, now: float, within_s: float) -> bool:
--- a/chiverun/runtime/instance.py
+++ b/chiverun/runtime/instance.py
@@ -14,7 +14,7 @@
 from chiverun.core.clock import SystemClock
 from chiverun.core.errors import ChiverunError
 from chiverun.core.idempotency import KeyTable
-from chiverun.core.ids import LifeId
+from chiverun.core.ids import BootId
 from chiverun.core.links import Links
 from chiverun.core.lookup import BlockTables
 from chiverun.core.messages import decode_message
@@ -32,18 +32,18 @@
 from chiverun.integrations.store import HttpStore
 from chiverun.integrations.telemetry import Telemetry
 from chiverun.integrations.web import WebServer
+from chiverun.runtime.control import BeginStop
 from chiverun.runtime.control import ControlPlane
 from chiverun.runtime.control import Event
-from chiverun.runtime.control import HandOver
 from chiverun.runtime.control import Identity
-from chiverun.runtime.control import Leave
 from chiverun.runtime.control import TICK_S
-from chiverun.runtime.entry import Entry
+from chiverun.runtime.control import TransferSeats
+from chiverun.runtime.entry import EntryHandler
 from chiverun.runtime.events import StoreJob
 from chiverun.runtime.execution import Executor
-from chiverun.runtime.forward import Forward
+from chiverun.runtime.forward import ForwardHandler
 from chiverun.runtime.healthcheck import HealthCheck
-from chiverun.runtime.public import Public
+from chiverun.runtime.public import LookupHandler
 from chiverun.runtime.status import Sources
 from chiverun.runtime.storeworker import HeadWatch
 from chiverun.runtime.storeworker import SeatRecords
@@ -113,10 +113,10 @@
         self._rng = random.Random(secrets.randbits(64))
         self._is_stop_requested = False
         self._addresses = AddressMap(mapping=dict(cfg.address_map))
-        life = LifeId(secrets.token_hex(8))
+        boot_id = BootId(secrets.token_hex(8))
         self._identity = Identity(
             instance=cfg.name,
-            life=life,
+            boot_id=boot_id,
             zone=cfg.zone,
             lookup=cfg.lookup_address,
             entry=cfg.entry_address,
@@ -134,7 +134,9 @@
             waiters_max=max(1, cfg.entry_threads // 2),
         )
         self._links = Links(zone=cfg.zone, clock=self._clock)
-        self._keys = KeyTable(instance=cfg.name, life=life, clock=self._clock)
+        self._keys = KeyTable(
+            instance=cfg.name, boot_id=boot_id, clock=self._clock
+        )
         self._backends = HttpBackends(
             clock=self._clock,
             addresses=self._addresses,
@@ -182,7 +184,7 @@
             telemetry=self._telemetry,
             hedge_threads=2 * cfg.entry_threads,
         )
-        self._entry = Entry(
+        self._entry = EntryHandler(
             identity=self._identity,
             clock=self._clock,
             plane=self._plane,
@@ -195,7 +197,7 @@
             telemetry=self._telemetry,
             threads=cfg.entry_threads,
         )
-        self._forward = Forward(
+        self._forward = ForwardHandler(
             zone=cfg.zone,
             clock=self._clock,
             plane=self._plane,
@@ -204,7 +206,7 @@
             telemetry=self._telemetry,
             threads=cfg.forward_threads,
         )
-        public = Public(
+        public = LookupHandler(
             sources=Sources(
                 clock=self._clock,
                 plane=self._plane,
@@ -279,7 +281,7 @@
         self._timer.start()
         self._watch.start()
         self._health.start()
-        _LOG.info("started", extra={"life": self._identity.life})
+        _LOG.info("started", extra={"life": self._identity.boot_id})
 
     def _leave(self) -> None:
         """Leave look-up answers, finish all requests, give seats away."""
@@ -290,7 +292,7 @@
         self._forward.refuse_new()
         if not self._wait(lambda: self._in_flight() == 0, self._finish_s()):
             _LOG.warning("requests left", extra={"count": self._in_flight()})
-        self._tell(HandOver())
+        self._tell(TransferSeats())
         if not self._wait(
             lambda: self._plane.has_handed_over, HAND_OVER_LIMIT_S
         ):
@@ -312,7 +314,7 @@
         """Tell peers repeatedly, since a message may be lost."""
         until = self._clock.monotonic() + seconds
         while self._clock.monotonic() < until:
-            self._tell(Leave())
+            self._tell(BeginStop())
             time.sleep(LEAVE_TELL_PERIOD_S)
 
     def _finish_s(self) -> float:
--- a/chiverun/runtime/membersystem.py
+++ b/chiverun/runtime/membersystem.py
@@ -83,10 +83,10 @@
     """Note an acknowledgement, and pass it on if it was relayed."""
     now = ctx.clock.monotonic()
     if 0 < sequence <= ctx.members.sequence:
-        membership.note_answer(ctx.members, content.sender, sequence, now)
+        membership.record_ack(ctx.members, content.sender, sequence, now)
     gossip.merge(ctx, content)
     row = ctx.members.rows.get(content.sender.instance)
-    if row is not None and row.life == content.sender.life:
+    if row is not None and row.boot_id == content.sender.boot_id:
         row.acked_at = now
         if gossip.has_same_marks(ctx, content):
             row.synced_sequence = max(row.synced_sequence, sequence)
--- a/chiverun/runtime/sending.py
+++ b/chiverun/runtime/sending.py
@@ -21,9 +21,9 @@
 from chiverun.integrations.asyncclient import OutgoingRequest
 from chiverun.integrations.asyncserver import Headers
 from chiverun.integrations.asyncserver import IncomingRequest
-from chiverun.runtime.dialect import Dialect
-from chiverun.runtime.dialect import RequestFacts
-from chiverun.runtime.dialect import ResponseFacts
+from chiverun.runtime.headercodec import HeaderCodec
+from chiverun.runtime.headercodec import RequestMetadata
+from chiverun.runtime.headercodec import ResponseMetadata
 from chiverun.runtime.servertable import MISDIRECTED_S
 from chiverun.runtime.servertable import ServerRow
 
@@ -56,7 +56,7 @@
     """How a send ended and what the response said."""
 
     end: ExchangeEnd
-    facts: ResponseFacts | None = None
+    facts: ResponseMetadata | None = None
 
     @property
     def is_not_run(self) -> bool:
@@ -67,8 +67,8 @@
 class Sender:
     """Sends requests and records what servers' responses tell."""
 
-    def __init__(self, *, dialect: Dialect) -> None:
-        self._dialect = dialect
+    def __init__(self, *, header_codec: HeaderCodec) -> None:
+        self._header_codec = header_codec
         self._loop = asyncio.get_running_loop()
         self._numbers = itertools.count()
 
@@ -76,7 +76,7 @@
         self,
         row: ServerRow,
         request: IncomingRequest,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         *,
         repeatable: bool,
         until: float,
@@ -114,7 +114,7 @@
         self,
         row: ServerRow,
         request: IncomingRequest,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         repeatable: bool,
         until: float,
     ) -> SendResult:
@@ -127,11 +127,11 @@
         if isinstance(connection, NotSent):
             return SendResult(end=connection)
         try:
-            left_s = until - self._loop.time()
-            if left_s <= 0:
+            remaining_s = until - self._loop.time()
+            if remaining_s <= 0:
                 return SendResult(end=NotSent(detail="deadline passed"))
             end = await connection.exchange(
-                self._outgoing(row, request, facts, left_s), left_s
+                self._outgoing(row, request, facts, remaining_s), remaining_s
             )
             result = self._interpret(row, end, request_id=facts.request_id)
             if isinstance(result.end, Mismatched | Incomplete):
@@ -166,11 +166,13 @@
         self,
         row: ServerRow,
         request: IncomingRequest,
-        facts: RequestFacts,
-        left_s: float,
+        facts: RequestMetadata,
+        remaining_s: float,
     ) -> OutgoingRequest:
         headers = end_to_end(request.headers)
-        headers = self._dialect.request_headers(headers, row.server, left_s)
+        headers = self._header_codec.request_headers(
+            headers, row.server, remaining_s
+        )
         has_body = request.body or request.method not in ("GET", "HEAD")
         if has_body:
             headers.append(("Content-Length", str(len(request.body))))
@@ -182,11 +184,13 @@
                 for name, value in headers
             ],
             body=request.body,
-            is_mine=lambda rows: self._is_mine(rows, facts),
+            matches_request=lambda rows: self._matches_request(rows, facts),
         )
 
-    def _is_mine(self, headers: Headers, facts: RequestFacts) -> bool:
-        echoed = self._dialect.response_facts(200, headers).request_id
+    def _matches_request(
+        self, headers: Headers, facts: RequestMetadata
+    ) -> bool:
+        echoed = self._header_codec.response_metadata(200, headers).request_id
         return echoed is None or echoed == facts.request_id
 
     def _interpret(
@@ -195,7 +199,7 @@
         if not isinstance(end, Answered):
             return SendResult(end=end)
         headers = list(end.headers)
-        facts = self._dialect.response_facts(end.status, headers)
+        facts = self._header_codec.response_metadata(end.status, headers)
         _note_keep_alive(row, headers)
         is_named = facts.is_stamped and facts.request_id == request_id
         if end.status < 300 and not is_named:
@@ -216,7 +220,7 @@
         row: ServerRow,
         result: SendResult,
         request: IncomingRequest,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         started_at: float,
         usual_s: float,
     ) -> None:
@@ -242,7 +246,7 @@
         row: ServerRow,
         result: SendResult,
         request: IncomingRequest,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         started_at: float,
         known_load: dict,
     ) -> None:
--- a/tests/core/test_idempotency.py
+++ b/tests/core/test_idempotency.py
@@ -12,7 +12,7 @@
 from chiverun.core.idempotency import KEY_LIFETIME_S
 from chiverun.core.idempotency import KEYS_MAX
 from chiverun.core.idempotency import KeyTable
-from chiverun.core.idempotency import Refuse
+from chiverun.core.idempotency import Reject
 from chiverun.core.idempotency import Replay
 from chiverun.core.idempotency import Run
 from chiverun.core.idempotency import STORED_BYTES_MAX
@@ -34,11 +34,11 @@
 class KeyTableTest(unittest.TestCase):
     def setUp(self):
         self.clock = ManualClock()
-        self.table = self._table("life-1")
+        self.table = self._table("boot-1")
 
-    def _table(self, life):
+    def _table(self, boot_id):
         kind = NaiveKeyTable if IS_NAIVE else KeyTable
-        return kind(instance="a-1", life=life, clock=self.clock)
+        return kind(instance="a-1", boot_id=boot_id, clock=self.clock)
 
     def _begin(self, key, fingerprint="f"):
         now = self.clock.monotonic()
@@ -62,7 +62,7 @@
     @params(
         ("while it runs", ResultCode.KEY_IN_PROGRESS, Outcome.UNKNOWN),
         ("of another request", ResultCode.KEY_REUSED, Outcome.NOT_RUN),
-        ("of an ended life", ResultCode.KEY_OTHER_LIFE, Outcome.UNKNOWN),
+        ("of an ended process", ResultCode.KEY_OTHER_LIFE, Outcome.UNKNOWN),
         ("past its lifetime", ResultCode.KEY_UNKNOWN, Outcome.UNKNOWN),
         ("malformed", ResultCode.KEY_UNKNOWN, Outcome.NOT_RUN),
         ("made up", ResultCode.KEY_UNKNOWN, Outcome.UNKNOWN),
@@ -76,17 +76,17 @@
             case "of another request":
                 self.table.finish(key, _result())
                 fingerprint = "other"
-            case "of an ended life":
-                self.table = self._table("life-2")
+            case "of an ended process":
+                self.table = self._table("boot-2")
             case "past its lifetime":
                 self.table.finish(key, _result())
                 self.clock.advance(KEY_LIFETIME_S + 1)
             case "malformed":
                 key = "a~b"
             case "made up":
-                key = "a-1~life-1~00"
+                key = "a-1~boot-1~00"
         self.assertEqual(
-            Refuse(outcome=outcome, code=code), self._begin(key, fingerprint)
+            Reject(outcome=outcome, code=code), self._begin(key, fingerprint)
         )
 
     def test_running_key_does_not_expire(self):
@@ -95,7 +95,7 @@
         self._begin(key)
         self.clock.advance(KEY_LIFETIME_S + 1)
         self.table.issue(1)
-        self.assertIsInstance(self._begin(key), Refuse)
+        self.assertIsInstance(self._begin(key), Reject)
 
     def test_threads_with_one_key_run_it_once(self):
         """Guards against concurrent runs of a request."""
@@ -133,7 +133,7 @@
         self.assertLessEqual(len(stored) * 65536, STORED_BYTES_MAX)
         self.assertEqual(keys[-len(stored) :], stored)
         self.assertEqual(
-            Refuse(outcome=Outcome.UNKNOWN, code=ResultCode.KEY_ANSWER_GONE),
+            Reject(outcome=Outcome.UNKNOWN, code=ResultCode.KEY_ANSWER_GONE),
             self._begin(keys[0]),
         )
         self.clock.advance(KEY_LIFETIME_S + 1)
@@ -149,7 +149,7 @@
 
     def test_keys_are_unique(self):
         """Guards against two requests with the same key."""
-        other = self._table("life-2")
+        other = self._table("boot-2")
         keys = self.table.issue(5000) + other.issue(5000)
         self.assertEqual(10000, len(set(keys)))
         self.assertIsNotNone(idempotency.parse_key(keys[0]))
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -16,7 +16,7 @@
 
 def _advert(name: str, **fields) -> Advert:
     values = {
-        "life": f"{name}-1",
+        "boot_id": f"{name}-1",
         "incarnation": 1,
         "sequence": 1,
         "zone": _ZONE,
@@ -26,7 +26,7 @@
         "peer": f"{name}:7000",
         "leaving": False,
         "seats": (),
-        "room": {},
+        "free_slots": {},
         "number": 1,
     }
     return Advert(instance=name, **{**values, **fields})
@@ -73,7 +73,7 @@
         """A resumed process declared all its suspects dead at once."""
         table = _table("b")
         table.rows["b"].state = MemberState.SUSPECT
-        membership.forget_silence(table, 100.0)
+        membership.reset_failure_detection(table, 100.0)
         membership.expire(table, _ZONE, 100.5)
         self.assertIs(MemberState.SUSPECT, table.rows["b"].state)
 
@@ -82,19 +82,21 @@
         ("other life, ping sent before it was known", "b-2", 3, False),
         ("other life", "b-2", 5, True),
     )
-    def test_end_of_a_lifetime(self, name, life, sequence, is_ended) -> None:
+    def test_end_of_a_lifetime(
+        self, name, boot_id, sequence, is_ended
+    ) -> None:
         """Only an answer from the address proves that a process ended."""
         table = _table()
         table.sequence = 4
         membership.merge_advert(table, _advert("b"), _ZONE, 0.0)
-        sender = _advert("c", life=life, peer="b:7000")
-        membership.note_answer(table, sender, sequence, 1.0)
+        sender = _advert("c", boot_id=boot_id, peer="b:7000")
+        membership.record_ack(table, sender, sequence, 1.0)
         self.assertEqual(is_ended, "b-1" in table.ended, name)
 
     def test_dead_member_that_answers_is_a_suspect(self) -> None:
         table = _table("b")
         table.rows["b"].state = MemberState.DEAD
-        membership.note_answer(table, _advert("b"), 1, 7.0)
+        membership.record_ack(table, _advert("b"), 1, 7.0)
         row = table.rows["b"]
         self.assertEqual(
             (MemberState.SUSPECT, 7.0), (row.state, row.state_since)
