--- a/chiverun/core/blocks.py
+++ b/chiverun/core/blocks.py
@@ -19,7 +19,7 @@
 
 _PACKED = struct.Struct(">IB")
 # Low 16 bits of the first address, prefix length, site number.
-_IN_BUCKET = struct.Struct(">HBH")
+_BUCKET_ENTRY = struct.Struct(">HBH")
 _BUCKET_BITS = 16
 _BUCKET_SIZE = 1 << _BUCKET_BITS
 # Buckets of up to this many blocks are scanned linearly: ranges for every
@@ -89,12 +89,12 @@
 
     def __init__(self) -> None:
         self._sites: Mapping[str, Site] = {}
-        self._numbers: dict[str, int] = {}
-        self._zones: list[ZoneName | None] = []
-        self._free: list[int] = []
+        self._site_numbers: dict[str, int] = {}
+        self._zone_by_number: list[ZoneName | None] = []
+        self._free_numbers: list[int] = []
         self._buckets: list[bytes] = [b""] * _BUCKET_SIZE
         self._ranges: dict[int, tuple[array.array, array.array]] = {}
-        self._wide_of: dict[str, list[tuple[int, int, int]]] = {}
+        self._wide_by_site: dict[str, list[tuple[int, int, int]]] = {}
         self._wide: list[tuple[int, int, int]] = []
 
     def find(self, address: int) -> "ZoneName | None":
@@ -107,10 +107,10 @@
             starts, sites = ranges
             number = sites[bisect.bisect_right(starts, low) - 1]
         if number != _NO_SITE:
-            return self._zones[number]
+            return self._zone_by_number[number]
         for first, last, number in self._wide:
             if first <= address <= last:
-                return self._zones[number]
+                return self._zone_by_number[number]
         return None
 
     def update(self, sites: "Mapping[str, Site]") -> None:
@@ -124,69 +124,73 @@
             and self._sites.get(name) != sites.get(name)
         ]
         for start in range(0, len(changed), _BATCH_SITES):
-            self._change(changed[start : start + _BATCH_SITES], sites)
+            self._update_buckets(changed[start : start + _BATCH_SITES], sites)
         for name in changed:
-            self._note_wide(name, sites.get(name))
+            self._update_wide(name, sites.get(name))
         self._wide = sorted(
-            (block for wide in self._wide_of.values() for block in wide),
+            (block for wide in self._wide_by_site.values() for block in wide),
             key=lambda block: block[1] - block[0],
         )
-        self._release(changed, sites)
+        self._release_numbers(changed, sites)
         self._sites = sites
 
-    def _change(self, changed: list[str], sites: "Mapping[str, Site]") -> None:
+    def _update_buckets(
+        self, changed: list[str], sites: "Mapping[str, Site]"
+    ) -> None:
         """Replace the blocks of the changed sites in their buckets."""
         touched: dict[int, list[bytes]] = {}
-        ended = set()
+        removed = set()
         for name in changed:
             old = self._sites.get(name)
             if old is not None:
-                ended.add(self._numbers[name])
-                for bucket in _buckets(old.blocks):
+                removed.add(self._site_numbers[name])
+                for bucket in _bucket_numbers(old.blocks):
                     touched.setdefault(bucket, [])
             new = sites.get(name)
             if new is not None:
-                self._add(self._number(name, new.zone), new.blocks, touched)
-        self._rebuild(touched, ended)
+                self._add_blocks(
+                    self._site_number(name, new.zone), new.blocks, touched
+                )
+        self._rebuild(touched, removed)
 
-    def _number(self, name: str, zone: "ZoneName") -> int:
+    def _site_number(self, name: str, zone: "ZoneName") -> int:
         """Return the number of a site; allocate one for a new site."""
-        number = self._numbers.get(name)
+        number = self._site_numbers.get(name)
         if number is None:
-            if self._free:
-                number = self._free.pop()
+            if self._free_numbers:
+                number = self._free_numbers.pop()
             else:
-                number = len(self._zones)
-                self._zones.append(None)
-            self._numbers[name] = number
-        self._zones[number] = zone
+                number = len(self._zone_by_number)
+                self._zone_by_number.append(None)
+            self._site_numbers[name] = number
+        self._zone_by_number[number] = zone
         return number
 
-    def _release(
+    def _release_numbers(
         self, changed: list[str], sites: "Mapping[str, Site]"
     ) -> None:
         for name in changed:
             if name not in sites:
-                self._free.append(self._numbers.pop(name))
+                self._free_numbers.append(self._site_numbers.pop(name))
 
-    def _add(
+    def _add_blocks(
         self, number: int, blocks: Blocks, touched: dict[int, list[bytes]]
     ) -> None:
         for first, length in blocks.pairs():
             if length < _BUCKET_BITS:
                 continue
             bucket, low = divmod(first, _BUCKET_SIZE)
-            packed = _IN_BUCKET.pack(low, length, number)
+            packed = _BUCKET_ENTRY.pack(low, length, number)
             touched.setdefault(bucket, []).append(packed)
 
     def _rebuild(
-        self, touched: dict[int, list[bytes]], ended: set[int]
+        self, touched: dict[int, list[bytes]], removed: set[int]
     ) -> None:
         for bucket, added in touched.items():
             packed = [
-                _IN_BUCKET.pack(*entry)
-                for entry in _IN_BUCKET.iter_unpack(self._buckets[bucket])
-                if entry[2] not in ended
+                _BUCKET_ENTRY.pack(*entry)
+                for entry in _BUCKET_ENTRY.iter_unpack(self._buckets[bucket])
+                if entry[2] not in removed
             ]
             packed += added
             packed.sort(key=_prefix_length, reverse=True)
@@ -197,19 +201,19 @@
             else:
                 self._ranges.pop(bucket, None)
 
-    def _note_wide(self, name: str, site: "Site | None") -> None:
+    def _update_wide(self, name: str, site: "Site | None") -> None:
         """Store the blocks of a site that are wider than a bucket."""
-        self._wide_of.pop(name, None)
+        self._wide_by_site.pop(name, None)
         if site is None:
             return
-        number = self._numbers[name]
+        number = self._site_numbers[name]
         wide = [
             (first, first + (1 << (32 - length)) - 1, number)
             for first, length in site.blocks.pairs()
             if length < _BUCKET_BITS
         ]
         if wide:
-            self._wide_of[name] = wide
+            self._wide_by_site[name] = wide
 
 
 def _prefix_length(packed: bytes) -> int:
@@ -218,13 +222,13 @@
 
 def _scan(raw: bytes, low: int) -> int:
     """Return the site number of the most specific block, the first match."""
-    for first, length, site in _IN_BUCKET.iter_unpack(raw):
+    for first, length, site in _BUCKET_ENTRY.iter_unpack(raw):
         if (low ^ first) >> (32 - length) == 0:
             return site
     return _NO_SITE
 
 
-def _buckets(blocks: Blocks) -> set[int]:
+def _bucket_numbers(blocks: Blocks) -> set[int]:
     return {
         first >> _BUCKET_BITS
         for first, length in blocks.pairs()
@@ -253,7 +257,7 @@
             if last + 1 < _BUCKET_SIZE:
                 append(last + 1, enclosing[-1][1] if enclosing else _NO_SITE)
 
-    entries = sorted(_IN_BUCKET.iter_unpack(raw))
+    entries = sorted(_BUCKET_ENTRY.iter_unpack(raw))
     for first, length, site in entries:
         close(first)
         append(first, site)
--- a/chiverun/core/dissemination.py
+++ b/chiverun/core/dissemination.py
@@ -42,8 +42,8 @@
 RECENT_BYTES_MAX = 8 * 1024 * 1024
 # Time after which an unanswered pull is repeated.
 PULL_RETRY_S = 0.5
-FUTILE_PULLS = 6
-FUTILE_PAUSE_S = 10.0
+FRUITLESS_PULLS_MAX = 6
+FRUITLESS_PULL_RETRY_S = 10.0
 _OFFERS_MAX = 1024
 BATCH_BYTES = 256 * 1024
 BATCHES_MAX = 64
@@ -155,9 +155,9 @@
     """Decides when to pull tickets from a peer that offers newer ones.
 
     A number is pulled again after `PULL_RETRY_S`. A peer that has answered
-    `FUTILE_PULLS` pulls without a ticket that could be applied usually has
+    `FRUITLESS_PULLS_MAX` pulls without an applicable ticket usually has
     another history and would send its whole state each time: it is pulled
-    from every `FUTILE_PAUSE_S` only.
+    from only every `FRUITLESS_PULL_RETRY_S`.
     """
 
     def __init__(self) -> None:
@@ -173,14 +173,14 @@
             return False
         # Compared for equality: a later number of another history must not
         # delay the pulls of this instance's history.
-        is_asked = offered == self._number
-        if is_asked and now - self._pulled_at < PULL_RETRY_S:
+        is_repeated = offered == self._number
+        if is_repeated and now - self._pulled_at < PULL_RETRY_S:
             return False
         offer = self._offers.get(sender)
         if offer is None or own >= offer.number:
             offer = _Offer(number=offered)
-        if offer.pulls >= FUTILE_PULLS and (
-            now - offer.pulled_at < FUTILE_PAUSE_S
+        if offer.pulls >= FRUITLESS_PULLS_MAX and (
+            now - offer.pulled_at < FRUITLESS_PULL_RETRY_S
         ):
             return False
         offer.pulls += 1
--- a/chiverun/core/edgemessages.py
+++ b/chiverun/core/edgemessages.py
@@ -98,12 +98,12 @@
 
 
 def _decompress(data: bytes) -> bytes:
-    worker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        plain = worker.decompress(data, MESSAGE_BYTES_MAX)
+        plain = decompressor.decompress(data, MESSAGE_BYTES_MAX)
     except zlib.error as exc:
         raise msgspec.DecodeError(f"compressed message: {exc}") from exc
-    if not worker.eof:
+    if not decompressor.eof:
         raise msgspec.DecodeError(
             "compressed message is truncated or larger than "
             f"{MESSAGE_BYTES_MAX} bytes"
--- a/chiverun/core/idempotency.py
+++ b/chiverun/core/idempotency.py
@@ -69,23 +69,23 @@
     code: ResultCode
 
 
-Begin = Run | Replay | Reject
+BeginResult = Run | Replay | Reject
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class KeyParts:
+class KeyIssuer:
     """The issuer encoded in a key."""
 
     instance: InstanceId
     boot_id: BootId
 
 
-def parse_key(key: str) -> KeyParts | None:
+def parse_key(key: str) -> KeyIssuer | None:
     """Return the issuer of a key, or None if it is malformed."""
     parts = key.split(_SEPARATOR)
     if len(parts) != 3 or not all(parts):
         return None
-    return KeyParts(instance=InstanceId(parts[0]), boot_id=BootId(parts[1]))
+    return KeyIssuer(instance=InstanceId(parts[0]), boot_id=BootId(parts[1]))
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -118,7 +118,7 @@
             collections.OrderedDict()
         )
         # Sizes of stored responses in bytes, in order of completion.
-        self._stored: collections.OrderedDict[IdempotencyKey, int] = (
+        self._stored_sizes: collections.OrderedDict[IdempotencyKey, int] = (
             collections.OrderedDict()
         )
         self._stored_bytes = 0
@@ -136,7 +136,7 @@
 
     def begin(
         self, key: IdempotencyKey, fingerprint: str, *, wait_until: float
-    ) -> Begin:
+    ) -> BeginResult:
         """Decide how to handle a request with a key.
 
         While another thread runs a request with the same key, wait for it
@@ -146,7 +146,7 @@
             self._expire(self._clock.monotonic())
             row = self._rows.get(key)
             if row is None:
-                return _unlisted(key, self._boot_id)
+                return _reject_unlisted(key, self._boot_id)
             if row.fingerprint not in ("", fingerprint):
                 # Applies to this request; the original one may have run.
                 return Reject(
@@ -154,8 +154,8 @@
                 )
             row.fingerprint = fingerprint
             while row.state is _KeyState.RUNNING:
-                left = wait_until - self._clock.monotonic()
-                if left <= 0 or not self._changed.wait(left):
+                remaining_s = wait_until - self._clock.monotonic()
+                if remaining_s <= 0 or not self._changed.wait(remaining_s):
                     return Reject(
                         outcome=Outcome.UNKNOWN,
                         code=ResultCode.KEY_IN_PROGRESS,
@@ -199,10 +199,10 @@
         The newest are kept, since requests are repeated soon after the first
         attempt.
         """
-        self._stored[key] = _size_bytes(result)
-        self._stored_bytes += self._stored[key]
+        self._stored_sizes[key] = _size_bytes(result)
+        self._stored_bytes += self._stored_sizes[key]
         while self._stored_bytes > STORED_BYTES_MAX:
-            oldest, size = self._stored.popitem(last=False)
+            oldest, size = self._stored_sizes.popitem(last=False)
             self._stored_bytes -= size
             self._rows[oldest].result = None
 
@@ -218,7 +218,7 @@
                 return
             if row.state is _KeyState.RUNNING:
                 return
-            self._stored_bytes -= self._stored.pop(key, 0)
+            self._stored_bytes -= self._stored_sizes.pop(key, 0)
             del self._rows[key]
 
 
@@ -230,7 +230,7 @@
     return len(result.body) + headers
 
 
-def _unlisted(key: IdempotencyKey, boot_id: BootId) -> Reject:
+def _reject_unlisted(key: IdempotencyKey, boot_id: BootId) -> Reject:
     """Return the rejection of a key that is not in the table.
 
     Its request may have run before the key expired or its process ended.
--- a/chiverun/core/issuers.py
+++ b/chiverun/core/issuers.py
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._seen: dict[InstanceId, tuple[Target, float]] = {}
+        self._last_seen: dict[InstanceId, tuple[Target, float]] = {}
         self._refreshed_at = float("-inf")
 
     def refresh(self, snapshot: "Snapshot", now: float) -> None:
@@ -36,13 +36,13 @@
                     target = Target(
                         zone=view.zone, region=view.region, addresses=addresses
                     )
-                    self._seen[addresses.instance] = (target, now)
-            for instance, (_, seen_at) in list(self._seen.items()):
-                if now - seen_at > KEY_LIFETIME_S:
-                    del self._seen[instance]
+                    self._last_seen[addresses.instance] = (target, now)
+            for instance, (_, last_seen_at) in list(self._last_seen.items()):
+                if now - last_seen_at > KEY_LIFETIME_S:
+                    del self._last_seen[instance]
 
     def find(self, instance: "InstanceId") -> "Target | None":
         """Return the last known location of an instance."""
         with self._lock:
-            seen = self._seen.get(instance)
-            return seen[0] if seen else None
+            last_seen = self._last_seen.get(instance)
+            return last_seen[0] if last_seen else None
--- a/chiverun/core/replica.py
+++ b/chiverun/core/replica.py
@@ -93,11 +93,11 @@
             row = self.rows.get(item.key)
             if row is not None and item.revision <= row.revision:
                 continue
-            if self._put(item, row, now, lapse_until):
+            if self._merge(item, row, now, lapse_until):
                 changed.append(item)
         return changed
 
-    def _put(
+    def _merge(
         self,
         item: VersionedRecord,
         row: Row | None,
@@ -112,7 +112,7 @@
                 changed_at=now,
             )
             return False
-        if row is not None and _is_older_state(row.record, item.record):
+        if row is not None and _reverts_state(row.record, item.record):
             return False
         if (
             item.record is None
@@ -154,7 +154,7 @@
         revision of its own and gets that of the listing.
         """
         present = {item.key for item in items}
-        gone = [
+        deleted = [
             VersionedRecord(key=key, revision=as_of)
             for key, row in self.rows.items()
             if key not in present
@@ -163,8 +163,8 @@
             and not isinstance(row.record, DesiredState)
         ]
         changed = []
-        for item in gone:
-            if self._put(item, self.rows[item.key], now, lapse_until):
+        for item in deleted:
+            if self._merge(item, self.rows[item.key], now, lapse_until):
                 changed.append(item)
         changed += self.apply(items, now=now, lapse_until=lapse_until)
         self.as_of = max(self.as_of, as_of)
@@ -244,8 +244,8 @@
     )
 
 
-def _is_older_state(known: Record | None, new: Record | None) -> bool:
+def _reverts_state(old: Record | None, new: Record | None) -> bool:
     """Return whether `new` would revert or remove a desired state."""
-    if not isinstance(known, DesiredState):
+    if not isinstance(old, DesiredState):
         return False
-    return not isinstance(new, DesiredState) or new.version < known.version
+    return not isinstance(new, DesiredState) or new.version < old.version
--- a/chiverun/core/settings.py
+++ b/chiverun/core/settings.py
@@ -33,7 +33,7 @@
     # [limits]
     entry_threads: int = 40
     forward_threads: int = 40
-    # One thread serves 4,079 look-ups/s and four serve 1,315, since threads
+    # One thread serves 4,079 look-ups/s where four serve 1,315 since threads
     # contend for the interpreter lock.
     lookup_threads: int = 1
     # [lookup]
@@ -75,7 +75,7 @@
 _OPERATOR_SECTIONS = {
     "operator": ("store", "instances", "store_timeout_ms"),
 }
-_ADDRESSES = {
+_ADDRESS_KEYS = {
     "lookup_address",
     "entry_address",
     "forward_address",
@@ -83,14 +83,14 @@
     "store",
     "instance_list",
 }
-_ADDRESS_LISTS = {"seeds", "instances"}
-_COUNTS = {
+_ADDRESS_LIST_KEYS = {"seeds", "instances"}
+_INT_RANGES = {
     "store_timeout_ms": (10, 60000),
     "entry_threads": (1, 512),
     "forward_threads": (1, 512),
     "lookup_threads": (1, 64),
 }
-_FRACTIONS = {"ttl_s": (0.1, 3600.0), "trace_ratio": (0.0, 1.0)}
+_FLOAT_RANGES = {"ttl_s": (0.1, 3600.0), "trace_ratio": (0.0, 1.0)}
 
 
 def read_settings(path: str | pathlib.Path) -> Settings:
@@ -102,7 +102,7 @@
         FILE_NOT_READABLE, SETTING_UNKNOWN, SETTING_MISSING or
         SETTING_INVALID, with section, key, invalid value and valid values.
     """
-    return Settings(**_values(path, _INSTANCE_SECTIONS, Settings))
+    return Settings(**_read_values(path, _INSTANCE_SECTIONS, Settings))
 
 
 def read_operator_settings(path: str | pathlib.Path) -> OperatorSettings:
@@ -114,16 +114,16 @@
         As `read_settings`.
     """
     return OperatorSettings(
-        **_values(path, _OPERATOR_SECTIONS, OperatorSettings)
+        **_read_values(path, _OPERATOR_SECTIONS, OperatorSettings)
     )
 
 
 def is_operator_file(path: str | pathlib.Path) -> bool:
     """Return whether a settings file has an [operator] section."""
-    return _parsed(path).has_section("operator")
+    return _parse_file(path).has_section("operator")
 
 
-def _parsed(path: str | pathlib.Path) -> configparser.ConfigParser:
+def _parse_file(path: str | pathlib.Path) -> configparser.ConfigParser:
     parser = configparser.ConfigParser(interpolation=None)
     try:
         with open(path, encoding="utf-8") as stream:
@@ -140,10 +140,10 @@
     return parser
 
 
-def _values(
+def _read_values(
     path: str | pathlib.Path, sections: dict[str, tuple[str, ...]], kind: type
 ) -> dict[str, Any]:
-    parser = _parsed(path)
+    parser = _parse_file(path)
     values: dict[str, Any] = {}
     for section in parser.sections():
         if section not in sections:
@@ -159,7 +159,7 @@
                     f"[{section}] {key} is unknown; valid: "
                     f"{', '.join(sections[section])}",
                 )
-            values[key] = _value(f"[{section}] {key}", key, text.strip())
+            values[key] = _parse_value(f"[{section}] {key}", key, text.strip())
     for section, keys in sections.items():
         for key in keys:
             if key not in values and _is_required(kind, key):
@@ -175,36 +175,42 @@
     return field.default is dataclasses.MISSING
 
 
-def _value(where: str, key: str, text: str) -> Any:
-    if key == "instances" and not _parts(text):
-        raise _invalid(where, text, "at least one IP:PORT")
-    if key in _ADDRESS_LISTS:
-        return tuple(_address(where, part) for part in _parts(text))
+def _parse_value(setting: str, key: str, text: str) -> Any:
+    if key == "instances" and not _split_list(text):
+        raise _invalid_error(setting, text, "at least one IP:PORT")
+    if key in _ADDRESS_LIST_KEYS:
+        return tuple(
+            _parse_address(setting, part) for part in _split_list(text)
+        )
     if key == "address_map":
-        return tuple(_pair(where, part) for part in _parts(text))
-    if key in _ADDRESSES:
-        return _address(where, text)
-    if key in _COUNTS:
-        return _number(where, text, int, *_COUNTS[key])
-    if key in _FRACTIONS:
-        return _number(where, text, float, *_FRACTIONS[key])
+        return tuple(
+            _parse_address_pair(setting, part) for part in _split_list(text)
+        )
+    if key in _ADDRESS_KEYS:
+        return _parse_address(setting, text)
+    if key in _INT_RANGES:
+        return _parse_number(setting, text, int, *_INT_RANGES[key])
+    if key in _FLOAT_RANGES:
+        return _parse_number(setting, text, float, *_FLOAT_RANGES[key])
     if key == "log_level" and text not in _LOG_LEVELS:
-        raise _invalid(where, text, f"one of {', '.join(_LOG_LEVELS)}")
+        raise _invalid_error(setting, text, f"one of {', '.join(_LOG_LEVELS)}")
     if not text or not text.isprintable() or "~" in text:
-        raise _invalid(where, text, "a printable name without '~'")
+        raise _invalid_error(setting, text, "a printable name without '~'")
     return text
 
 
-def _parts(text: str) -> list[str]:
+def _split_list(text: str) -> list[str]:
     return [part.strip() for part in text.split(",") if part.strip()]
 
 
-def _pair(where: str, text: str) -> tuple[Address, Address]:
+def _parse_address_pair(setting: str, text: str) -> tuple[Address, Address]:
     announced, _, reachable = text.partition("=")
-    return _address(where, announced), _address(where, reachable)
+    return _parse_address(setting, announced), _parse_address(
+        setting, reachable
+    )
 
 
-def _address(where: str, text: str) -> Address:
+def _parse_address(setting: str, text: str) -> Address:
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -212,23 +218,25 @@
     except ValueError:
         valid = False
     if not valid:
-        raise _invalid(where, text, "IP:PORT, such as 127.0.0.1:8080")
+        raise _invalid_error(setting, text, "IP:PORT, such as 127.0.0.1:8080")
     return Address(text)
 
 
-def _number(
-    where: str, text: str, kind: type, low: float, high: float
+def _parse_number(
+    setting: str, text: str, kind: type, low: float, high: float
 ) -> float:
     try:
         number = kind(text)
     except ValueError:
         number = None
     if number is None or not low <= number <= high:
-        raise _invalid(where, text, f"{kind.__name__} from {low} to {high}")
+        raise _invalid_error(
+            setting, text, f"{kind.__name__} from {low} to {high}"
+        )
     return number
 
 
-def _invalid(where: str, text: str, valid: str) -> ChiverunError:
+def _invalid_error(setting: str, text: str, valid: str) -> ChiverunError:
     return ChiverunError(
-        ResultCode.SETTING_INVALID, f"{where} is {text!r}; valid: {valid}"
+        ResultCode.SETTING_INVALID, f"{setting} is {text!r}; valid: {valid}"
     )
--- a/chiverun/core/state.py
+++ b/chiverun/core/state.py
@@ -24,7 +24,7 @@
 
 # Number of digests stored to compare histories: 1.7 hours of tickets at the
 # target of 58,000 a day, in 32 KB per state.
-HISTORY_KEPT = 4096
+HISTORY_DIGESTS_MAX = 4096
 _HISTORY_DIGEST_BYTES = 8
 
 
@@ -77,11 +77,11 @@
 
 def empty_state() -> State:
     """Return the state before ticket 1."""
-    nothing = types.MappingProxyType({})
+    empty = types.MappingProxyType({})
     return State(
         number=TicketNumber(0),
         digest="",
-        objects=dict.fromkeys(KINDS, nothing),
+        objects=dict.fromkeys(KINDS, empty),
     )
 
 
@@ -130,11 +130,11 @@
         objects=objects,
         ticket=ticket,
         submission=submission,
-        history=history[-HISTORY_KEPT * _HISTORY_DIGEST_BYTES :],
+        history=history[-HISTORY_DIGESTS_MAX * _HISTORY_DIGEST_BYTES :],
     )
 
 
-class _Image(msgspec.Struct, frozen=True, kw_only=True):
+class _StateImage(msgspec.Struct, frozen=True, kw_only=True):
     """A state as sent to peers and stored; `content` holds all objects."""
 
     number: TicketNumber
@@ -145,7 +145,7 @@
     history: bytes = b""
 
 
-class _Sealed(msgspec.Struct, frozen=True, kw_only=True):
+class _HashedImage(msgspec.Struct, frozen=True, kw_only=True):
     """An encoded image and its hash, since corrupt bytes may still decode."""
 
     image: bytes
@@ -161,7 +161,7 @@
         **{k: tuple(state.objects[k].values()) for k in KINDS},
     )
     image = msgspec.msgpack.encode(
-        _Image(
+        _StateImage(
             number=state.number,
             digest=state.digest,
             content=content,
@@ -172,18 +172,18 @@
         enc_hook=encode_hook,
     )
     return msgspec.msgpack.encode(
-        _Sealed(image=image, check=xxhash.xxh3_128_hexdigest(image))
+        _HashedImage(image=image, check=xxhash.xxh3_128_hexdigest(image))
     )
 
 
 def decode_state(data: bytes) -> State:
     """Decode the output of `encode_state`; raises TICKET_MALFORMED."""
     try:
-        sealed = msgspec.msgpack.decode(data, type=_Sealed)
-        if xxhash.xxh3_128_hexdigest(sealed.image) != sealed.check:
-            raise ValueError(f"hash of the image is not {sealed.check!r}")
+        hashed = msgspec.msgpack.decode(data, type=_HashedImage)
+        if xxhash.xxh3_128_hexdigest(hashed.image) != hashed.check:
+            raise ValueError(f"hash of the image is not {hashed.check!r}")
         image = msgspec.msgpack.decode(
-            sealed.image, type=_Image, dec_hook=decode_hook
+            hashed.image, type=_StateImage, dec_hook=decode_hook
         )
     except (msgspec.DecodeError, ValueError) as exc:
         raise ChiverunError(
--- a/chiverun/core/ticket.py
+++ b/chiverun/core/ticket.py
@@ -200,7 +200,7 @@
     ChiverunError
         TICKET_MALFORMED, with the field and its valid values.
     """
-    return _decoded(
+    return _decode_checked(
         lambda: msgspec.toml.decode(text, type=Ticket, dec_hook=decode_hook)
     )
 
@@ -212,7 +212,7 @@
 
 def decode_ticket(data: bytes) -> Ticket:
     """Decode the output of `encode_ticket`; raises TICKET_MALFORMED."""
-    return _decoded(
+    return _decode_checked(
         lambda: msgspec.msgpack.decode(data, type=Ticket, dec_hook=decode_hook)
     )
 
@@ -237,11 +237,13 @@
     if not isinstance(value, list) or not all(
         isinstance(v, str) for v in value
     ):
-        raise ValueError('blocks; valid: a list such as ["10.1.0.0/16"]')
+        raise ValueError(
+            'blocks: expected a list of CIDR blocks such as ["10.1.0.0/16"]'
+        )
     return Blocks.parse(value)
 
 
-def _decoded(decode: Callable[[], T]) -> T:
+def _decode_checked(decode: Callable[[], T]) -> T:
     try:
         return decode()
     except (msgspec.DecodeError, ValueError, RecursionError) as exc:
--- a/chiverun/core/ticketbase.py
+++ b/chiverun/core/ticketbase.py
@@ -106,7 +106,7 @@
     return f"{CHUNK_PREFIX}{base.number}/{base.check}-{index}"
 
 
-def number_in(key: str, prefix: str) -> int | None:
+def number_from_key(key: str, prefix: str) -> int | None:
     """Return the ticket number after the prefix of a key, if any."""
     text = key.removeprefix(prefix).partition("/")[0]
     return int(text) if text.isascii() and text.isdigit() else None
--- a/chiverun/core/ticketcheck.py
+++ b/chiverun/core/ticketcheck.py
@@ -52,46 +52,48 @@
             f"ticket {ticket.number} is {size} bytes; valid: at most "
             f"{TICKET_BYTES_MAX} bytes",
         )
-    for problem in _problems(state, ticket, result):
+    for problem in _find_problems(state, ticket, result):
         raise ChiverunError(
             ResultCode.TICKET_INVALID, f"ticket {ticket.number}: {problem}"
         )
     return result
 
 
-def _problems(state: State, ticket: Ticket, result: State) -> Iterator[str]:
-    yield from _text(ticket)
-    yield from _touched_twice(ticket)
-    yield from _removals(state, ticket)
+def _find_problems(
+    state: State, ticket: Ticket, result: State
+) -> Iterator[str]:
+    yield from _check_texts(ticket)
+    yield from _check_names(ticket)
+    yield from _check_removals(state, ticket)
     for kind, check in _CHECKS.items():
         for name, record in result.objects[kind].items():
             for problem in check(result, record):
                 yield f"{kind} {name}: {problem}"
-    yield from _seat_changes(state, result)
-    yield from _moved_servers(state, result)
-    yield from _duplicate_links(result)
-    yield from _duplicate_addresses(result)
-    yield from _duplicate_blocks(ticket, result)
-    yield from _site_count(result)
-    yield from _competing_shifts(result)
-    yield from _all_drained(result)
+    yield from _check_seat_counts(state, result)
+    yield from _check_moved_servers(state, result)
+    yield from _check_duplicate_links(result)
+    yield from _check_duplicate_addresses(result)
+    yield from _check_duplicate_blocks(ticket, result)
+    yield from _check_site_count(result)
+    yield from _check_competing_shifts(result)
+    yield from _check_active_zone(result)
 
 
-def _text(ticket: Ticket) -> Iterator[str]:
+def _check_texts(ticket: Ticket) -> Iterator[str]:
     for field in ("reason", "author"):
         if not getattr(ticket, field).strip():
             yield f"{field} is empty; valid: a non-blank text"
 
 
-def _touched_twice(ticket: Ticket) -> Iterator[str]:
-    touched = [
+def _check_names(ticket: Ticket) -> Iterator[str]:
+    changed_objects = [
         (kind, record.name)
         for kind in KINDS
         for record in getattr(ticket, kind)
     ]
-    touched += [(r.kind, r.name) for r in ticket.remove]
+    changed_objects += [(r.kind, r.name) for r in ticket.remove]
     seen = set()
-    for kind, name in touched:
+    for kind, name in changed_objects:
         if (kind, name) in seen:
             yield f"{kind} {name!r} is listed twice; valid: once"
         seen.add((kind, name))
@@ -99,7 +101,7 @@
             yield f"{kind} name {name!r}; valid: 1 to 100 printable characters"
 
 
-def _removals(state: State, ticket: Ticket) -> Iterator[str]:
+def _check_removals(state: State, ticket: Ticket) -> Iterator[str]:
     for removal in ticket.remove:
         if removal.kind not in KINDS:
             yield (
@@ -110,31 +112,31 @@
             yield (f"{removal.kind} {removal.name!r} to remove does not exist")
 
 
-def _reference(state: State, field: str, kind: type, name: str):
-    known = state.of(kind)
-    if name not in known:
-        valid = ", ".join(sorted(known)[:20]) or "none exist"
+def _check_reference(state: State, field: str, kind: type, name: str):
+    existing = state.of(kind)
+    if name not in existing:
+        valid = ", ".join(sorted(existing)[:20]) or "none exist"
         yield f"{field} is {name!r}; valid: {valid}"
 
 
-def _between(field: str, value: float, low: float, high: float):
+def _check_range(field: str, value: float, low: float, high: float):
     if not (math.isfinite(value) and low <= value <= high):
         yield f"{field} is {value}; valid: {low} to {high}"
 
 
-def _region(state: State, record: Region) -> Iterator[str]:
-    yield from _between("in_flight_max", record.in_flight_max, 0, 10**9)
+def _check_region(state: State, record: Region) -> Iterator[str]:
+    yield from _check_range("in_flight_max", record.in_flight_max, 0, 10**9)
 
 
-def _zone(state: State, record: Zone) -> Iterator[str]:
-    yield from _reference(state, "region", Region, record.region)
-    yield from _between("seats", record.seats, 1, SEATS_MAX)
+def _check_zone(state: State, record: Zone) -> Iterator[str]:
+    yield from _check_reference(state, "region", Region, record.region)
+    yield from _check_range("seats", record.seats, 1, SEATS_MAX)
 
 
-def _link(state: State, record: Link) -> Iterator[str]:
-    yield from _reference(state, "source", Region, record.source)
-    yield from _reference(state, "target", Region, record.target)
-    yield from _between("mbit_per_s", record.mbit_per_s, 0.001, 10**7)
+def _check_link(state: State, record: Link) -> Iterator[str]:
+    yield from _check_reference(state, "source", Region, record.source)
+    yield from _check_reference(state, "target", Region, record.target)
+    yield from _check_range("mbit_per_s", record.mbit_per_s, 0.001, 10**7)
     if record.source == record.target:
         yield (
             f"target is {record.target!r}; valid: a region other than the "
@@ -142,7 +144,7 @@
         )
 
 
-def _service(state: State, record: Service) -> Iterator[str]:
+def _check_service(state: State, record: Service) -> Iterator[str]:
     if not _SERVICE_NAME.fullmatch(record.name):
         yield (
             f"name is {record.name!r}; valid: letters, digits, '.', '_' and "
@@ -154,14 +156,16 @@
     if len(set(names)) < len(names):
         yield f"class names are {names}; valid: unique names"
     for request_class in record.classes:
-        for problem in _class_problems(request_class):
+        for problem in _check_request_class(request_class):
             yield f"class {request_class.name}: {problem}"
 
 
-def _class_problems(record: RequestClass) -> Iterator[str]:
-    yield from _between("attempts", record.attempts, 1, 10)
-    yield from _between("deadline_ms", record.deadline_ms, 1, DEADLINE_MS_MAX)
-    yield from _between(
+def _check_request_class(record: RequestClass) -> Iterator[str]:
+    yield from _check_range("attempts", record.attempts, 1, 10)
+    yield from _check_range(
+        "deadline_ms", record.deadline_ms, 1, DEADLINE_MS_MAX
+    )
+    yield from _check_range(
         "answer_bytes_max", record.answer_bytes_max, 1, ANSWER_BYTES_MAX
     )
     if record.attempts > 1 and not record.repeatable:
@@ -180,12 +184,14 @@
         )
 
 
-def _server(state: State, record: Server) -> Iterator[str]:
-    yield from _reference(state, "service", Service, record.service)
-    yield from _reference(state, "zone", Zone, record.zone)
-    yield from _between("slots", record.slots, 1, SLOTS_MAX)
-    yield from _between("long_slots", record.long_slots, 0, record.slots)
-    yield from _between("connections_max", record.connections_max, 1, 10**6)
+def _check_server(state: State, record: Server) -> Iterator[str]:
+    yield from _check_reference(state, "service", Service, record.service)
+    yield from _check_reference(state, "zone", Zone, record.zone)
+    yield from _check_range("slots", record.slots, 1, SLOTS_MAX)
+    yield from _check_range("long_slots", record.long_slots, 0, record.slots)
+    yield from _check_range(
+        "connections_max", record.connections_max, 1, 10**6
+    )
     host, _, port = record.address.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -196,17 +202,17 @@
         yield f"address is {record.address!r}; valid: IP:PORT"
 
 
-def _site(state: State, record: Site) -> Iterator[str]:
-    yield from _reference(state, "zone", Zone, record.zone)
+def _check_site(state: State, record: Site) -> Iterator[str]:
+    yield from _check_reference(state, "zone", Zone, record.zone)
 
 
-def _shift(state: State, record: Shift) -> Iterator[str]:
-    yield from _reference(state, "service", Service, record.service)
-    yield from _reference(state, "source", Region, record.source)
-    yield from _reference(state, "target", Region, record.target)
-    yield from _between("fraction", record.fraction, 0.0, 1.0)
-    yield from _between("cap_per_s", record.cap_per_s, 1, 10**9)
-    yield from _between("warm_s", record.warm_s, 0.0, 86400.0)
+def _check_shift(state: State, record: Shift) -> Iterator[str]:
+    yield from _check_reference(state, "service", Service, record.service)
+    yield from _check_reference(state, "source", Region, record.source)
+    yield from _check_reference(state, "target", Region, record.target)
+    yield from _check_range("fraction", record.fraction, 0.0, 1.0)
+    yield from _check_range("cap_per_s", record.cap_per_s, 1, 10**9)
+    yield from _check_range("warm_s", record.warm_s, 0.0, 86400.0)
     if record.source == record.target:
         yield (
             f"target is {record.target!r}; valid: a region other than the "
@@ -215,17 +221,17 @@
 
 
 _CHECKS: dict[str, Callable[..., Iterator[str]]] = {
-    "region": _region,
-    "zone": _zone,
-    "link": _link,
-    "service": _service,
-    "server": _server,
-    "site": _site,
-    "shift": _shift,
+    "region": _check_region,
+    "zone": _check_zone,
+    "link": _check_link,
+    "service": _check_service,
+    "server": _check_server,
+    "site": _check_site,
+    "shift": _check_shift,
 }
 
 
-def _seat_changes(state: State, result: State) -> Iterator[str]:
+def _check_seat_counts(state: State, result: State) -> Iterator[str]:
     """Reject a changed number of seats while the zone has active servers.
 
     Slots are assigned to seat holders by the number of seats.
@@ -243,7 +249,7 @@
             )
 
 
-def _moved_servers(state: State, result: State) -> Iterator[str]:
+def _check_moved_servers(state: State, result: State) -> Iterator[str]:
     """Reject a new zone for a server that no earlier ticket has drained.
 
     Seat holders of the old and the new zone would use its slots together.
@@ -259,7 +265,7 @@
             )
 
 
-def _duplicate_links(result: State) -> Iterator[str]:
+def _check_duplicate_links(result: State) -> Iterator[str]:
     seen: dict[tuple[str, str], str] = {}
     for link in result.of(Link).values():
         other = seen.setdefault((link.source, link.target), link.name)
@@ -270,7 +276,7 @@
             )
 
 
-def _duplicate_addresses(result: State) -> Iterator[str]:
+def _check_duplicate_addresses(result: State) -> Iterator[str]:
     seen: dict[str, str] = {}
     for server in result.of(Server).values():
         other = seen.setdefault(server.address, server.name)
@@ -281,48 +287,48 @@
             )
 
 
-def _duplicate_blocks(ticket: Ticket, result: State) -> Iterator[str]:
+def _check_duplicate_blocks(ticket: Ticket, result: State) -> Iterator[str]:
     """Reject a block of the ticket that another site has too."""
-    touched: dict[tuple[int, int], str] = {}
+    changed_blocks: dict[tuple[int, int], str] = {}
     for site in ticket.site:
         for block in site.blocks.pairs():
-            other = touched.setdefault(block, site.name)
+            other = changed_blocks.setdefault(block, site.name)
             if other != site.name:
                 yield (
-                    f"site {site.name}: block {_text_of(block)} is already in "
-                    f"site {other}"
+                    f"site {site.name}: block {_format_block(block)} is "
+                    f"already in site {other}"
                 )
-    if not touched:
+    if not changed_blocks:
         return
     changed = {site.name for site in ticket.site}
     for site in result.of(Site).values():
         if site.name in changed:
             continue
         for block in site.blocks.pairs():
-            if block in touched:
+            if block in changed_blocks:
                 yield (
-                    f"site {touched[block]}: block {_text_of(block)} is "
-                    f"already in site {site.name}"
+                    f"site {changed_blocks[block]}: block "
+                    f"{_format_block(block)} is already in site {site.name}"
                 )
 
 
-def _text_of(block: tuple[int, int]) -> str:
+def _format_block(block: tuple[int, int]) -> str:
     return f"{ipaddress.IPv4Address(block[0])}/{block[1]}"
 
 
-def _all_drained(result: State) -> Iterator[str]:
+def _check_active_zone(result: State) -> Iterator[str]:
     zones = result.of(Zone).values()
     if zones and all(z.state is ZoneState.DRAIN for z in zones):
         yield "every zone is in state drain; valid: at least one active zone"
 
 
-def _site_count(result: State) -> Iterator[str]:
+def _check_site_count(result: State) -> Iterator[str]:
     count = len(result.of(Site))
     if count > SITES_MAX:
         yield f"{count} sites; valid: at most {SITES_MAX}"
 
 
-def _competing_shifts(result: State) -> Iterator[str]:
+def _check_competing_shifts(result: State) -> Iterator[str]:
     seen: dict[tuple[str, str], str] = {}
     for shift in result.of(Shift).values():
         if shift.state is ShiftState.ENDED:
--- a/chiverun/core/ticketconflict.py
+++ b/chiverun/core/ticketconflict.py
@@ -18,7 +18,7 @@
     digest: str
 
 
-def check_not_behind(number: int, in_force: list[ReportedState]) -> None:
+def check_store_not_behind(number: int, in_force: list[ReportedState]) -> None:
     """Raise STORE_BEHIND if an instance is ahead of the store."""
     for report in in_force:
         if report.number > number:
@@ -41,7 +41,7 @@
             )
 
 
-def outcome_unknown(entry: Entry) -> ChiverunError:
+def outcome_unknown_error(entry: Entry) -> ChiverunError:
     """Return the error for a write whose response was lost."""
     return ChiverunError(
         ResultCode.TICKET_OUTCOME_UNKNOWN,
@@ -50,29 +50,31 @@
     )
 
 
-def number_taken(
+def number_taken_error(
     ticket: Ticket, number: int, winner: Entry | None
 ) -> ChiverunError:
     """Return the error for a number that has already been accepted."""
-    told = f": {_name(winner)}" if winner else ""
+    detail = f": {_describe(winner)}" if winner else ""
     return ChiverunError(
         ResultCode.TICKET_OUT_OF_ORDER,
-        f"ticket number {ticket.number} is taken{told}; valid: {number + 1}",
+        f"ticket number {ticket.number} is taken{detail}; valid: {number + 1}",
     )
 
 
-def _name(entry: Entry) -> str:
+def _describe(entry: Entry) -> str:
     return (
         f"accepted is {entry.ticket.reason!r} by {entry.ticket.author!r} "
         f"(submission {entry.submission})"
     )
 
 
-def lost_race(ticket: Ticket, winner: Entry | None) -> ChiverunError:
+def lost_race_error(ticket: Ticket, winner: Entry | None) -> ChiverunError:
     """Return the error for a ticket overtaken by a concurrent one."""
-    told = _name(winner) if winner else "another submitter changed the head"
+    detail = (
+        _describe(winner) if winner else "another submitter changed the head"
+    )
     return ChiverunError(
         ResultCode.TICKET_LOST_RACE,
-        f"ticket {ticket.number} was not accepted: {told}; use the next "
+        f"ticket {ticket.number} was not accepted: {detail}; use the next "
         "number",
     )
--- a/chiverun/core/ticketlog.py
+++ b/chiverun/core/ticketlog.py
@@ -15,11 +15,11 @@
 from chiverun.core.state import State
 from chiverun.core.ticket import Ticket
 from chiverun.core.ticketcheck import check_ticket
-from chiverun.core.ticketconflict import check_not_behind
 from chiverun.core.ticketconflict import check_same_history
-from chiverun.core.ticketconflict import lost_race
-from chiverun.core.ticketconflict import number_taken
-from chiverun.core.ticketconflict import outcome_unknown
+from chiverun.core.ticketconflict import check_store_not_behind
+from chiverun.core.ticketconflict import lost_race_error
+from chiverun.core.ticketconflict import number_taken_error
+from chiverun.core.ticketconflict import outcome_unknown_error
 from chiverun.core.ticketconflict import ReportedState
 from chiverun.core.ticketentry import apply_entry
 from chiverun.core.ticketentry import encode_entry
@@ -36,11 +36,11 @@
 if TYPE_CHECKING:
     from chiverun.integrations.interfaces import KeyValueStore
 
-COMPACT_EVERY = 64
+COMPACT_EVERY_TICKETS = 64
 _LOAD_ATTEMPTS = 4
-_SETTLE_ATTEMPTS = 6
-_SETTLE_PAUSE_S = 0.5
-_DAMAGES = {ResultCode.TICKET_MALFORMED, ResultCode.TICKET_FORK}
+_WRITE_ATTEMPTS = 6
+_WRITE_RETRY_PAUSE_S = 0.5
+_DAMAGE_CODES = {ResultCode.TICKET_MALFORMED, ResultCode.TICKET_FORK}
 
 
 class TicketLog:
@@ -101,8 +101,8 @@
         Return None if some of them have been trimmed.
         """
         entries = []
-        for wanted in range(number + 1, head.number):
-            entry = self._records.entry(wanted)
+        for entry_number in range(number + 1, head.number):
+            entry = self._records.entry(entry_number)
             if entry is None:
                 return None
             entries.append(entry)
@@ -182,18 +182,21 @@
             history: overwriting it would revert a ticket accepted there.
         """
         head = self.head()
-        known = head.entry.number if head.entry else 0
+        head_number = head.entry.number if head.entry else 0
         newest = newest_entry(state)
-        if newest is None or known >= state.number:
+        if newest is None or head_number >= state.number:
             return False
-        if head.entry and state.follows(known, head.entry.digest) is False:
+        if (
+            head.entry
+            and state.follows(head_number, head.entry.digest) is False
+        ):
             raise fork_error(head.entry, state)
         self._records.copy_head(head)
-        missing = [e for e in recent if known < e.number < state.number]
+        missing = [e for e in recent if head_number < e.number < state.number]
         for entry in missing:
             self._records.write_entry(entry)
-        if len(missing) < state.number - known - 1:
-            self._cover_by_base(state)
+        if len(missing) < state.number - head_number - 1:
+            self._ensure_base(state)
         return self._store.put(HEAD_KEY, encode_entry(newest), cas=head.index)
 
     def replace_unloadable_base(self, state: State) -> bool:
@@ -208,14 +211,14 @@
         except LogGap:
             pass
         except ChiverunError as exc:
-            if exc.code not in _DAMAGES:
+            if exc.code not in _DAMAGE_CODES:
                 raise
         head = self.head().entry
         if head is None or head.digest != state.digest:
             return False
         return self.compact(state, is_forced=True)
 
-    def _cover_by_base(self, state: State) -> None:
+    def _ensure_base(self, state: State) -> None:
         """Ensure that the base holds the state, so no older entry is read."""
         if self.compact(state):
             return
@@ -229,17 +232,19 @@
         self, ticket: Ticket, submission: str, in_force: list[ReportedState]
     ) -> Entry:
         head = self.head()
-        earlier = self._accepted(ticket, submission, head)
+        earlier = self._entry_of_submission(ticket, submission, head)
         if earlier is not None:
             return earlier
         number = head.entry.number if head.entry else 0
-        check_not_behind(number, in_force)
+        check_store_not_behind(number, in_force)
         state = self.load()
         if state.number > number:
-            self._raise_moved(ticket, state.number)
+            self._raise_outdated_head(ticket, state.number)
         check_same_history(state, in_force)
         if 0 < ticket.number <= state.number:
-            raise number_taken(ticket, state.number, self.entry(ticket.number))
+            raise number_taken_error(
+                ticket, state.number, self.entry(ticket.number)
+            )
         result = check_ticket(state, ticket)
         entry = Entry(
             number=ticket.number,
@@ -248,23 +253,23 @@
             ticket=ticket,
         )
         self._records.copy_head(head)
-        self._swap_head(entry, head)
-        self._compact_in_turn(apply_entry(state, entry))
+        self._replace_head(entry, head)
+        self._compact_if_due(apply_entry(state, entry))
         return entry
 
-    def _raise_moved(self, ticket: Ticket, loaded: int) -> None:
+    def _raise_outdated_head(self, ticket: Ticket, loaded: int) -> None:
         """Raise the error for a base newer than the head read before it."""
-        now = self.head().entry
-        if now is None or now.number < loaded:
+        current = self.head().entry
+        if current is None or current.number < loaded:
             raise ChiverunError(
                 ResultCode.STORE_BEHIND,
-                f"the store's base is at ticket {loaded}, its head at "
-                f"{now.number if now else 0}; wait until an instance has "
-                "repaired the store",
+                f"the store's base is at ticket {loaded}, its head at ticket "
+                f"{current.number if current else 0}; wait until an instance "
+                "has repaired the store",
             )
-        raise lost_race(ticket, self.entry(ticket.number))
+        raise lost_race_error(ticket, self.entry(ticket.number))
 
-    def _swap_head(self, entry: Entry, head: Head) -> None:
+    def _replace_head(self, entry: Entry, head: Head) -> None:
         """Replace the head; read it back if the response is lost.
 
         While the head is unchanged, the same bytes are written again: the
@@ -274,42 +279,42 @@
         """
         data = encode_entry(entry)
         is_sent = False
-        for _ in range(_SETTLE_ATTEMPTS):
+        for _ in range(_WRITE_ATTEMPTS):
             try:
                 if self._store.put(HEAD_KEY, data, cas=head.index):
                     return
             except StoreUnavailable:
-                self._sleep(_SETTLE_PAUSE_S)
+                self._sleep(_WRITE_RETRY_PAUSE_S)
             except StoreAnswerLost:
                 is_sent = True
-                self._sleep(_SETTLE_PAUSE_S)
+                self._sleep(_WRITE_RETRY_PAUSE_S)
             try:
-                now = self.head()
-                if now.index == head.index:
+                current = self.head()
+                if current.index == head.index:
                     continue
-                winner = self._winner(entry, now)
+                winner = self._accepted_entry(entry, current)
             except (StoreUnavailable, ChiverunError):
                 continue
             if winner is not None and winner.submission == entry.submission:
                 return
             if winner is None and is_sent:
-                raise outcome_unknown(entry)
-            raise lost_race(entry.ticket, winner)
+                raise outcome_unknown_error(entry)
+            raise lost_race_error(entry.ticket, winner)
         if is_sent:
-            raise outcome_unknown(entry)
+            raise outcome_unknown_error(entry)
         raise StoreUnavailable(
-            f"write {HEAD_KEY}: failed in {_SETTLE_ATTEMPTS} attempts"
+            f"write {HEAD_KEY}: failed in {_WRITE_ATTEMPTS} attempts"
         )
 
-    def _winner(self, entry: Entry, now: Head) -> Entry | None:
+    def _accepted_entry(self, entry: Entry, current: Head) -> Entry | None:
         """Return the accepted entry with the number of `entry`, if known."""
-        if now.entry is None or now.entry.number < entry.number:
+        if current.entry is None or current.entry.number < entry.number:
             return None
-        if now.entry.number == entry.number:
-            return now.entry
+        if current.entry.number == entry.number:
+            return current.entry
         return self._records.entry(entry.number)
 
-    def _accepted(
+    def _entry_of_submission(
         self, ticket: Ticket, submission: str, head: Head
     ) -> Entry | None:
         if head.entry is None or head.entry.number < ticket.number:
@@ -330,11 +335,17 @@
             )
         return entry
 
-    def _compact_in_turn(self, state: State) -> None:
-        """Compact every `COMPACT_EVERY` tickets; a later one retries."""
+    def _compact_if_due(self, state: State) -> None:
+        """Compact if `COMPACT_EVERY_TICKETS` are in the log after the base.
+
+        Errors are ignored: the next ticket retries.
+        """
         try:
             base = self._records.base_pointer()
-            if state.number - (base.number if base else 0) >= COMPACT_EVERY:
+            if (
+                state.number - (base.number if base else 0)
+                >= COMPACT_EVERY_TICKETS
+            ):
                 self.compact(state)
         except (StoreUnavailable, StoreAnswerLost, ChiverunError):
             return
--- a/chiverun/core/ticketrecords.py
+++ b/chiverun/core/ticketrecords.py
@@ -18,7 +18,7 @@
 from chiverun.core.ticketbase import encode_base
 from chiverun.core.ticketbase import encode_pointer
 from chiverun.core.ticketbase import is_replaceable
-from chiverun.core.ticketbase import number_in
+from chiverun.core.ticketbase import number_from_key
 from chiverun.core.ticketentry import decode_entry
 from chiverun.core.ticketentry import encode_entry
 from chiverun.core.ticketentry import Entry
@@ -31,7 +31,7 @@
 HEAD_KEY = "chiverun/head"
 _ENTRY_PREFIX = "chiverun/ticket/"
 ENTRIES_KEPT = 256
-_ENSURE_ATTEMPTS = 4
+_WRITE_ATTEMPTS = 4
 
 
 class LogGap(StoreUnavailable):
@@ -75,7 +75,7 @@
 
     def write_entry(self, entry: Entry) -> None:
         """Write an accepted entry to its own key."""
-        self._ensure(_entry_key(entry.number), encode_entry(entry))
+        self._write_value(_entry_key(entry.number), encode_entry(entry))
 
     def copy_head(self, head: Head) -> None:
         """Copy the head's entry to its own key before it is replaced."""
@@ -113,7 +113,7 @@
             return False
         pointer, chunks = encode_base(state)
         for index, chunk in enumerate(chunks):
-            self._ensure(chunk_key(pointer, index), chunk)
+            self._write_value(chunk_key(pointer, index), chunk)
         swapped = self._store.put(
             BASE_KEY,
             encode_pointer(pointer),
@@ -131,28 +131,28 @@
         """
         try:
             for key in self._store.keys(_ENTRY_PREFIX):
-                number = number_in(key, _ENTRY_PREFIX)
+                number = number_from_key(key, _ENTRY_PREFIX)
                 if number is None or number <= base.number - ENTRIES_KEPT:
-                    self._remove(key)
+                    self._delete(key)
             for key in self._store.keys(CHUNK_PREFIX):
-                number = number_in(key, CHUNK_PREFIX)
+                number = number_from_key(key, CHUNK_PREFIX)
                 if number is None or number < base.number:
-                    self._remove(key)
+                    self._delete(key)
         except (StoreUnavailable, StoreAnswerLost):
             return
 
-    def _remove(self, key: str) -> None:
+    def _delete(self, key: str) -> None:
         item = self._store.get(key)
         if item is not None:
             self._store.delete(key, cas=item.index)
 
-    def _ensure(self, key: str, data: bytes) -> None:
+    def _write_value(self, key: str, data: bytes) -> None:
         """Write a value that is the same for all writers of its key.
 
         A different value stems from the history before a restore of the
         store, and is replaced.
         """
-        for _ in range(_ENSURE_ATTEMPTS):
+        for _ in range(_WRITE_ATTEMPTS):
             item = self._store.get(key)
             if item is not None and item.value == data:
                 return
@@ -162,7 +162,7 @@
             except StoreAnswerLost:
                 continue
         raise StoreUnavailable(
-            f"write {key}: not confirmed in {_ENSURE_ATTEMPTS} attempts"
+            f"write {key}: not confirmed in {_WRITE_ATTEMPTS} attempts"
         )
 
 
--- a/chiverun/core/timer.py
+++ b/chiverun/core/timer.py
@@ -16,11 +16,11 @@
 
 
 @dataclasses.dataclass(order=True, kw_only=True)
-class _Due:
-    at: float
+class _ScheduledCall:
+    due_at: float
     order: int
     period_s: float = dataclasses.field(compare=False)
-    call: Callable[[], None] = dataclasses.field(compare=False)
+    callback: Callable[[], None] = dataclasses.field(compare=False)
 
 
 class TimerService:
@@ -32,24 +32,24 @@
 
     def __init__(self, *, clock: "Clock") -> None:
         self._clock = clock
-        self._due: list[_Due] = []
-        self._order = itertools.count()
+        self._queue: list[_ScheduledCall] = []
+        self._sequence = itertools.count()
         self._changed = threading.Condition()
         self._stopping = False
         self._thread = threading.Thread(
             target=self._run, daemon=True, name="timer"
         )
 
-    def subscribe(self, period_s: float, call: Callable[[], None]) -> None:
-        """Call `call` every `period_s` seconds, starting after one period."""
-        due = _Due(
-            at=self._clock.monotonic() + period_s,
-            order=next(self._order),
+    def subscribe(self, period_s: float, callback: Callable[[], None]) -> None:
+        """Call `callback` every `period_s` seconds, first after a period."""
+        scheduled = _ScheduledCall(
+            due_at=self._clock.monotonic() + period_s,
+            order=next(self._sequence),
             period_s=period_s,
-            call=call,
+            callback=callback,
         )
         with self._changed:
-            heapq.heappush(self._due, due)
+            heapq.heappush(self._queue, scheduled)
             self._changed.notify()
 
     def start(self) -> None:
@@ -66,27 +66,27 @@
 
     def _run(self) -> None:
         while True:
-            due = self._next()
-            if due is None:
+            scheduled = self._wait_for_next()
+            if scheduled is None:
                 return
             try:
-                due.call()
+                scheduled.callback()
             except Exception:
                 _LOG.exception("timer subscriber failed")
-            due.at += due.period_s
+            scheduled.due_at += scheduled.period_s
             now = self._clock.monotonic()
-            if due.at <= now:
-                due.at = now + due.period_s
+            if scheduled.due_at <= now:
+                scheduled.due_at = now + scheduled.period_s
             with self._changed:
-                heapq.heappush(self._due, due)
+                heapq.heappush(self._queue, scheduled)
 
-    def _next(self) -> _Due | None:
+    def _wait_for_next(self) -> _ScheduledCall | None:
         """Wait for the next due call; return None when stopping."""
         with self._changed:
             while not self._stopping:
                 now = self._clock.monotonic()
-                if self._due and self._due[0].at <= now:
-                    return heapq.heappop(self._due)
-                wait_s = self._due[0].at - now if self._due else None
+                if self._queue and self._queue[0].due_at <= now:
+                    return heapq.heappop(self._queue)
+                wait_s = self._queue[0].due_at - now if self._queue else None
                 self._changed.wait(wait_s)
         return None
