--- a/chiverun/core/blocks.py
+++ b/chiverun/core/blocks.py
@@ -17,7 +17,7 @@
     from chiverun.core.ids import ZoneName
     from chiverun.core.ticket import Site
 
-_PACKED = struct.Struct(">IB")
+_PACKED_BLOCK = struct.Struct(">IB")
 # Low 16 bits of the first address, prefix length, site number.
 _BUCKET_ENTRY = struct.Struct(">HBH")
 _BUCKET_BITS = 16
@@ -54,19 +54,19 @@
             if str(network) != text:
                 raise ValueError(f"block is {text!r}; valid: {network}")
             first = int(network.network_address)
-            parts.append(_PACKED.pack(first, network.prefixlen))
+            parts.append(_PACKED_BLOCK.pack(first, network.prefixlen))
         return cls(b"".join(parts))
 
     def pairs(self) -> Iterator[tuple[int, int]]:
         """Return the first address and prefix length of each block."""
-        return _PACKED.iter_unpack(self.packed)
+        return _PACKED_BLOCK.iter_unpack(self.packed)
 
     def __iter__(self) -> Iterator[str]:
         for first, length in self.pairs():
             yield f"{ipaddress.IPv4Address(first)}/{length}"
 
     def __len__(self) -> int:
-        return len(self.packed) // _PACKED.size
+        return len(self.packed) // _PACKED_BLOCK.size
 
     def __eq__(self, other: object) -> bool:
         return isinstance(other, Blocks) and other.packed == self.packed
@@ -138,20 +138,22 @@
         self, changed: list[str], sites: "Mapping[str, Site]"
     ) -> None:
         """Replace the blocks of the changed sites in their buckets."""
-        touched: dict[int, list[bytes]] = {}
+        changed_buckets: dict[int, list[bytes]] = {}
         removed = set()
         for name in changed:
             old = self._sites.get(name)
             if old is not None:
                 removed.add(self._site_numbers[name])
                 for bucket in _bucket_numbers(old.blocks):
-                    touched.setdefault(bucket, [])
+                    changed_buckets.setdefault(bucket, [])
             new = sites.get(name)
             if new is not None:
                 self._add_blocks(
-                    self._site_number(name, new.zone), new.blocks, touched
+                    self._site_number(name, new.zone),
+                    new.blocks,
+                    changed_buckets,
                 )
-        self._rebuild(touched, removed)
+        self._rebuild(changed_buckets, removed)
 
     def _site_number(self, name: str, zone: "ZoneName") -> int:
         """Return the number of a site; allocate one for a new site."""
@@ -174,19 +176,22 @@
                 self._free_numbers.append(self._site_numbers.pop(name))
 
     def _add_blocks(
-        self, number: int, blocks: Blocks, touched: dict[int, list[bytes]]
+        self,
+        number: int,
+        blocks: Blocks,
+        changed_buckets: dict[int, list[bytes]],
     ) -> None:
         for first, length in blocks.pairs():
             if length < _BUCKET_BITS:
                 continue
             bucket, low = divmod(first, _BUCKET_SIZE)
             packed = _BUCKET_ENTRY.pack(low, length, number)
-            touched.setdefault(bucket, []).append(packed)
+            changed_buckets.setdefault(bucket, []).append(packed)
 
     def _rebuild(
-        self, touched: dict[int, list[bytes]], removed: set[int]
+        self, changed_buckets: dict[int, list[bytes]], removed: set[int]
     ) -> None:
-        for bucket, added in touched.items():
+        for bucket, added in changed_buckets.items():
             packed = [
                 _BUCKET_ENTRY.pack(*entry)
                 for entry in _BUCKET_ENTRY.iter_unpack(self._buckets[bucket])
--- a/chiverun/core/dissemination.py
+++ b/chiverun/core/dissemination.py
@@ -44,7 +44,7 @@
 PULL_RETRY_S = 0.5
 FRUITLESS_PULLS_MAX = 6
 FRUITLESS_PULL_RETRY_S = 10.0
-_OFFERS_MAX = 1024
+_PEERS_MAX = 1024
 BATCH_BYTES = 256 * 1024
 BATCHES_MAX = 64
 CONTACTS_PER_ZONE = 3
@@ -120,22 +120,23 @@
         self._entries: collections.deque[tuple[Entry, int]] = (
             collections.deque()
         )
-        self._bytes = 0
+        self._size_bytes = 0
 
     def append(self, entry: "Entry") -> None:
         """Add the newest entry; drop the oldest ones beyond the limits."""
         size = len(encode_entry(entry))
         self._entries.append((entry, size))
-        self._bytes += size
+        self._size_bytes += size
         while len(self._entries) > 1 and (
-            len(self._entries) > ENTRIES_KEPT or self._bytes > RECENT_BYTES_MAX
+            len(self._entries) > ENTRIES_KEPT
+            or self._size_bytes > RECENT_BYTES_MAX
         ):
-            self._bytes -= self._entries.popleft()[1]
+            self._size_bytes -= self._entries.popleft()[1]
 
     def clear(self) -> None:
-        """Drop all entries, which do not precede a state from a peer."""
+        """Drop all entries, which do not lead to a state received whole."""
         self._entries.clear()
-        self._bytes = 0
+        self._size_bytes = 0
 
     def entries(self) -> list["Entry"]:
         """Return the entries, oldest first; thread-safe."""
@@ -185,7 +186,7 @@
             return False
         offer.pulls += 1
         offer.pulled_at = now
-        if len(self._offers) >= _OFFERS_MAX:
+        if len(self._offers) >= _PEERS_MAX:
             self._offers.clear()
         self._offers[sender] = offer
         self._number = offered
@@ -265,10 +266,10 @@
     table: DrainTable, signs: tuple[DrainNotice, ...], now: float
 ) -> None:
     """Merge the drain notices of other instances."""
-    for sign in signs:
-        until = now + DRAIN_SIGN_S - sign.age_ms / 1000.0
-        if until > max(now, table.until.get(sign.server, 0.0)):
-            table.until[sign.server] = until
+    for notice in signs:
+        until = now + DRAIN_SIGN_S - notice.age_ms / 1000.0
+        if until > max(now, table.until.get(notice.server, 0.0)):
+            table.until[notice.server] = until
 
 
 def select_drain_signs(
--- a/chiverun/core/edgemessages.py
+++ b/chiverun/core/edgemessages.py
@@ -57,7 +57,7 @@
 
 EdgeMessage = Heartbeat | Update | Pull | Snapshot
 
-# Compression does not pay for smaller messages.
+# Compression gains nothing for smaller messages.
 COMPRESS_BYTES_MIN = 512
 # A desired state of 10,000 routes takes about 2 MB.
 MESSAGE_BYTES_MAX = 16 * 1024 * 1024
--- a/chiverun/core/messages.py
+++ b/chiverun/core/messages.py
@@ -44,8 +44,8 @@
 class Advert(_Record):
     """Self-description of an instance, ordered by (incarnation, sequence).
 
-    `free_slots` is their number by service, `age_ms` the time since the
-    instance created the advert.
+    `free_slots` is the number of free slots by service, `age_ms` the time
+    since the instance created the advert.
     """
 
     instance: InstanceId
--- a/chiverun/core/replica.py
+++ b/chiverun/core/replica.py
@@ -186,7 +186,7 @@
     def changed_after(self, revision: Revision) -> list[VersionedRecord]:
         """Return records and deletions that changed after a revision."""
         return [
-            _versioned(key, row)
+            _versioned_record(key, row)
             for key, row in self.rows.items()
             if row.content_revision > revision
         ]
@@ -194,7 +194,7 @@
     def listing(self) -> list[VersionedRecord]:
         """Return all rows that have a record in the store."""
         return [
-            _versioned(key, row)
+            _versioned_record(key, row)
             for key, row in self.rows.items()
             if row.record is not None and row.lapsed_until == float("-inf")
         ]
@@ -235,7 +235,7 @@
         )
 
 
-def _versioned(key: str, row: Row) -> VersionedRecord:
+def _versioned_record(key: str, row: Row) -> VersionedRecord:
     is_lapsed = row.lapsed_until > float("-inf")
     return VersionedRecord(
         key=key,
--- a/chiverun/core/snapshot.py
+++ b/chiverun/core/snapshot.py
@@ -17,8 +17,8 @@
 class EntryAddresses:
     """Addresses (``ip:port``), free slots and seats of an instance.
 
-    `free_slots` is their number by service. It and `seats` were measured at
-    `measured_at` (monotonic seconds of this instance).
+    `free_slots` is by service; it and `seats` were measured at `measured_at`
+    (monotonic seconds of this instance).
     """
 
     instance: InstanceId
--- a/chiverun/core/ticket.py
+++ b/chiverun/core/ticket.py
@@ -141,7 +141,7 @@
     """Moves `fraction` of a service's requests from source to target.
 
     All instances together move at most `cap_per_s` requests in any second.
-    Each increase of the moved rate is held for `warm_s` seconds.
+    The moved fraction grows in steps at least `warm_s` seconds apart.
     """
 
     name: str
--- a/chiverun/core/ticketbase.py
+++ b/chiverun/core/ticketbase.py
@@ -64,7 +64,7 @@
 
 
 def encode_pointer(pointer: BasePointer) -> bytes:
-    """Encode a pointer."""
+    """Encode a pointer as MessagePack."""
     return msgspec.msgpack.encode(pointer)
 
 
--- a/chiverun/core/ticketcheck.py
+++ b/chiverun/core/ticketcheck.py
@@ -98,7 +98,10 @@
             yield f"{kind} {name!r} is listed twice; valid: once"
         seen.add((kind, name))
         if not name or len(name) > 100 or not name.isprintable():
-            yield f"{kind} name {name!r}; valid: 1 to 100 printable characters"
+            yield (
+                f"{kind} name is {name!r}; valid: 1 to 100 printable "
+                "characters"
+            )
 
 
 def _check_removals(state: State, ticket: Ticket) -> Iterator[str]:
@@ -109,7 +112,7 @@
                 f"{', '.join(KINDS)}"
             )
         elif removal.name not in state.objects[removal.kind]:
-            yield (f"{removal.kind} {removal.name!r} to remove does not exist")
+            yield f"{removal.kind} {removal.name!r} to remove does not exist"
 
 
 def _check_reference(state: State, field: str, kind: type, name: str):
--- a/chiverun/core/ticketentry.py
+++ b/chiverun/core/ticketentry.py
@@ -37,7 +37,7 @@
 
 
 def encode_entry(entry: Entry) -> bytes:
-    """Encode an entry (MessagePack)."""
+    """Encode an entry as MessagePack."""
     return msgspec.msgpack.encode(entry, enc_hook=encode_hook)
 
 
--- a/chiverun/core/ticketrecords.py
+++ b/chiverun/core/ticketrecords.py
@@ -114,17 +114,17 @@
         pointer, chunks = encode_base(state)
         for index, chunk in enumerate(chunks):
             self._write_value(chunk_key(pointer, index), chunk)
-        swapped = self._store.put(
+        is_written = self._store.put(
             BASE_KEY,
             encode_pointer(pointer),
             cas=item.index if item else 0,
         )
-        if swapped:
+        if is_written:
             self._trim(pointer)
-        return swapped
+        return is_written
 
     def _trim(self, base: BasePointer) -> None:
-        """Delete older bases and entries `ENTRIES_KEPT` behind the new one.
+        """Delete older bases and entries at least `ENTRIES_KEPT` behind.
 
         Listing the keys also finds those left by an interrupted compaction
         or a late writer. Errors are ignored: the next compaction retries.
@@ -149,8 +149,8 @@
     def _write_value(self, key: str, data: bytes) -> None:
         """Write a value that is the same for all writers of its key.
 
-        A different value stems from the history before a restore of the
-        store, and is replaced.
+        A different value is left over from the history before a restore of
+        the store and is replaced.
         """
         for _ in range(_WRITE_ATTEMPTS):
             item = self._store.get(key)
--- a/tests/core/test_blocks.py
+++ b/tests/core/test_blocks.py
@@ -28,7 +28,9 @@
 )
 
 
-def _naive(sites: dict[str, list[str]], address: int) -> set[str | None]:
+def _linear_match(
+    sites: dict[str, list[str]], address: int
+) -> set[str | None]:
     """Return the sites of the most specific blocks, several for duplicates."""
     ip = ipaddress.IPv4Address(address)
     hits = [
@@ -67,7 +69,9 @@
                 }
             )
             for address in _addresses(sites):
-                self.assertIn(table.find(address), _naive(sites, address))
+                self.assertIn(
+                    table.find(address), _linear_match(sites, address)
+                )
 
     def test_blocks_round_trip(self):
         """Guards against blocks altered by packing."""
--- a/tests/core/test_settings.py
+++ b/tests/core/test_settings.py
@@ -62,7 +62,7 @@
         ("extra", "key", "1", ResultCode.SETTING_UNKNOWN, "[extra]"),
     )
     def test_invalid_setting_is_reported(
-        self, section, key, value, code, words
+        self, section, key, value, code, expected_text
     ):
         """Guards against an error without the setting or its valid values."""
         with self.assertRaises(ChiverunError) as caught:
@@ -70,7 +70,7 @@
         self.assertEqual(
             code or ResultCode.SETTING_INVALID, caught.exception.code
         )
-        self.assertIn(words, caught.exception.message)
+        self.assertIn(expected_text, caught.exception.message)
 
     def test_missing_file_is_reported(self):
         """Guards against an error without a result code."""
--- a/tests/core/test_ticketcheck.py
+++ b/tests/core/test_ticketcheck.py
@@ -11,7 +11,7 @@
 from chiverun.core.ticket import read_ticket
 from chiverun.core.ticketcheck import check_ticket
 
-_HEAD = 'number = {}\nreason = "r"\nauthor = "a"\n'
+_HEADER = 'number = {}\nreason = "r"\nauthor = "a"\n'
 _SERVER = (
     '[[server]]\nname="{}"\nservice="v"\nzone="{}"\naddress="{}"\n'
     'slots={}\nstate="{}"\n'
@@ -34,7 +34,7 @@
 
 class TicketCheckTest(unittest.TestCase):
     def check(self, text: str):
-        first = read_ticket((_HEAD.format(1) + _BASE).encode())
+        first = read_ticket((_HEADER.format(1) + _BASE).encode())
         state = apply_ticket(empty_state(), first)
         check_ticket(empty_state(), first)
         return check_ticket(state, read_ticket(text.encode()))
@@ -66,12 +66,12 @@
         (_SERVER.format("e", "z", "127.0.0.1:3", 0, "active"), "slots is 0"),
         (_SERVER.format("s", "y", "127.0.0.1:1", 2, "active"), "zone is 'y'"),
     )
-    def test_invalid(self, text, words):
+    def test_invalid(self, text, expected_text):
         """Guards against accepting a ticket with an inconsistent state."""
         with self.assertRaises(ChiverunError) as caught:
-            self.check(_HEAD.format(2) + text)
+            self.check(_HEADER.format(2) + text)
         self.assertEqual(ResultCode.TICKET_INVALID, caught.exception.code)
-        self.assertIn(words, caught.exception.message)
+        self.assertIn(expected_text, caught.exception.message)
 
     @params(
         ('[[site]]\nname="u"\nzone="z"\nblocks=["10.0.0.1/8"]\n', "host bits"),
@@ -80,17 +80,17 @@
             "valid: 10.0.0.0/8",
         ),
     )
-    def test_malformed_block(self, text, words):
+    def test_malformed_block(self, text, expected_text):
         """Guards against one block in two notations; rejected on parsing."""
         with self.assertRaises(ChiverunError) as caught:
-            self.check(_HEAD.format(2) + text)
+            self.check(_HEADER.format(2) + text)
         self.assertEqual(ResultCode.TICKET_MALFORMED, caught.exception.code)
-        self.assertIn(words, caught.exception.message)
+        self.assertIn(expected_text, caught.exception.message)
 
     def test_drained_server_may_move(self):
         """Guards against rejecting the move of a drained server."""
         moved = _SERVER.format("d", "y", "127.0.0.1:2", 2, "active")
-        state = self.check(_HEAD.format(2) + moved)
+        state = self.check(_HEADER.format(2) + moved)
         self.assertEqual(2, state.number)
 
     def test_too_large(self):
--- a/tests/core/test_ticketlog.py
+++ b/tests/core/test_ticketlog.py
@@ -74,14 +74,16 @@
     )
 
 
-def log_of(platform: Platform, kind=TicketLog, **faults):
+def make_log(platform: Platform, log_type=TicketLog, **faults):
     store = MemoryStore(platform=platform, **faults)
-    return kind(store=store, sleep=lambda _s: None), store
+    return log_type(store=store, sleep=lambda _s: None), store
 
 
-def fill(platform: Platform, last: int, first: int = 1, author: str = "a"):
+def submit_tickets(
+    platform: Platform, last: int, first: int = 1, author: str = "a"
+):
     """Submit tickets; return the resulting state and the entries."""
-    log, _ = log_of(platform)
+    log, _ = make_log(platform)
     entries = [
         log.submit(ticket(n, author), f"{author}{n}", [])
         for n in range(first, last + 1)
@@ -92,16 +94,16 @@
     return state, entries
 
 
-def outcome(log, wanted: Ticket, submission: str):
+def outcome(log, new_ticket: Ticket, submission: str):
     """Submit a ticket; return its result code and message."""
     try:
-        log.submit(wanted, submission, [])
+        log.submit(new_ticket, submission, [])
     except ChiverunError as exc:
         return exc.code, exc.message
     return ResultCode.OK, ""
 
 
-def accepted(platform: Platform) -> dict[int, str]:
+def accepted_submissions(platform: Platform) -> dict[int, str]:
     """Return the submission ids in the store by ticket number."""
     found = {}
     for key, (value, _) in platform.data.items():
@@ -118,10 +120,10 @@
 }
 
 
-def is_truthful(platform: Platform, told: dict, number: int) -> bool:
+def is_report_correct(platform: Platform, reported: dict, number: int) -> bool:
     """Return whether the reported results match the accepted submission."""
-    winner = accepted(platform).get(number)
-    for submission, code in told.items():
+    winner = accepted_submissions(platform).get(number)
+    for submission, code in reported.items():
         if code is ResultCode.OK and winner != submission:
             return False
         if code in _NOT_ACCEPTED and winner == submission:
@@ -131,48 +133,52 @@
 
 class RaceTest(unittest.TestCase):
     @params((NaiveLog, False), (TicketLog, True))
-    def test_operators_race_on_a_number(self, kind, holds):
+    def test_operators_race_on_a_number(self, log_type, is_expected_correct):
         """Guards against reporting the same ticket number accepted twice."""
         results = set()
         for position in range(5):
-            platform = prepared(2)
-            told = {}
+            platform = platform_with_tickets(2)
+            reported = {}
 
-            def rivals(platform=platform, told=told):
+            def rivals(platform=platform, reported=reported):
                 for name in ("b", "c"):
-                    rival, _ = log_of(platform, kind)
-                    told[name] = outcome(rival, ticket(3, name), name)[0]
-
-            log, _ = log_of(platform, kind, before_call={position: rivals})
-            told["a"], message = outcome(log, ticket(3), "a")
-            wins = list(told.values()).count(ResultCode.OK)
-            results.add(wins == 1 and is_truthful(platform, told, 3))
-            if holds and told["a"] is not ResultCode.OK:
+                    rival, _ = make_log(platform, log_type)
+                    reported[name] = outcome(rival, ticket(3, name), name)[0]
+
+            log, _ = make_log(
+                platform, log_type, before_call={position: rivals}
+            )
+            reported["a"], message = outcome(log, ticket(3), "a")
+            wins = list(reported.values()).count(ResultCode.OK)
+            results.add(wins == 1 and is_report_correct(platform, reported, 3))
+            if is_expected_correct and reported["a"] is not ResultCode.OK:
                 self.assertIn("submission b", message)
-        self.assertEqual({True} if holds else {True, False}, results)
+        self.assertEqual(
+            {True} if is_expected_correct else {True, False}, results
+        )
 
     def test_compaction_during_load(self):
         """Guards against a load that fails while the base is replaced."""
         for position in range(8):
-            platform = prepared(130)
-            old = log_of(platform)[0].load()
+            platform = platform_with_tickets(130)
+            old = make_log(platform)[0].load()
 
             def rival(platform=platform):
-                fill(platform, 200, first=131, author="b")
+                submit_tickets(platform, 200, first=131, author="b")
 
-            log, _ = log_of(platform, before_call={position: rival})
+            log, _ = make_log(platform, before_call={position: rival})
             self.assertGreaterEqual(log.load().number, old.number)
 
     def test_compaction_during_submission(self):
         """Guards against a submission that fails during a compaction."""
         platform = Platform()
-        fill(platform, 127)
+        submit_tickets(platform, 127)
         for position in range(12):
-            log, _ = log_of(
+            log, _ = make_log(
                 platform,
                 before_call={
-                    position: lambda: log_of(platform)[0].compact(
-                        log_of(platform)[0].load()
+                    position: lambda: make_log(platform)[0].compact(
+                        make_log(platform)[0].load()
                     )
                 },
             )
@@ -182,7 +188,7 @@
 
 class LostAnswerTest(unittest.TestCase):
     @params((NaiveLog, False), (TicketLog, True))
-    def test_fault_at_each_write(self, kind, holds):
+    def test_fault_at_each_write(self, log_type, is_expected_correct):
         """Guards against a wrong result of a write whose response is lost.
 
         Ticket 64 copies the head, replaces it and triggers a compaction.
@@ -191,20 +197,24 @@
         for fault in FAULTS:
             for position in range(5):
                 for rival in (False, True):
-                    results.add(_faulty_write(kind, fault, position, rival))
-        self.assertEqual({True} if holds else {True, False}, results)
+                    results.add(
+                        _faulty_write(log_type, fault, position, rival)
+                    )
+        self.assertEqual(
+            {True} if is_expected_correct else {True, False}, results
+        )
 
     def test_read_fails_after_lost_response(self):
         """Guards against "not accepted" if the head cannot be read back."""
         for read in range(2, 90):
-            platform = prepared(2)
-            log, _ = log_of(
+            platform = platform_with_tickets(2)
+            log, _ = make_log(
                 platform,
                 write_faults={1: Fault.LOST_AFTER},
                 failing_reads=set(range(read, 200)),
             )
             code, _ = outcome(log, ticket(3), "x")
-            self.assertTrue(is_truthful(platform, {"x": code}, 3), read)
+            self.assertTrue(is_report_correct(platform, {"x": code}, 3), read)
 
     @params(None, *range(6, 14))
     def test_successor_accepted_after_lost_response(self, first_failing):
@@ -213,26 +223,28 @@
         The response is lost and a successor replaces the head; the reads that
         find the ticket in the log may fail too.
         """
-        platform = prepared(2)
+        platform = platform_with_tickets(2)
         bad = range(first_failing, 200) if first_failing else ()
-        log, _ = log_of(
+        log, _ = make_log(
             platform,
             write_faults={1: Fault.LOST_AFTER},
             failing_reads=set(bad),
         )
-        works = iter([lambda: fill(platform, 4, first=4, author="b")])
+        works = iter(
+            [lambda: submit_tickets(platform, 4, first=4, author="b")]
+        )
         log._sleep = lambda _s: next(works, lambda: None)()
         code, _ = outcome(log, ticket(3), "x")
-        self.assertTrue(is_truthful(platform, {"x": code}, 3), code)
+        self.assertTrue(is_report_correct(platform, {"x": code}, 3), code)
         if first_failing is None:
             self.assertEqual(ResultCode.OK, code)
 
     def test_repeat_has_one_effect(self):
         """Guards against a repeated submission accepted twice or rejected."""
         platform = Platform()
-        log, _ = log_of(platform)
+        log, _ = make_log(platform)
         first = log.submit(ticket(1), "x", [])
-        fill(platform, 3, first=2)
+        submit_tickets(platform, 3, first=2)
         self.assertEqual(first, log.submit(ticket(1), "x", []))
         self.assertEqual(3, log.load().number)
         code, _ = outcome(log, ticket(1, "other"), "x")
@@ -240,38 +252,42 @@
 
 
 @functools.cache
-def _filled(last: int) -> tuple[dict, int]:
+def _platform_data(last: int) -> tuple[dict, int]:
     platform = Platform()
-    fill(platform, last)
+    submit_tickets(platform, last)
     return platform.data, platform.index
 
 
-def prepared(last: int) -> Platform:
+def platform_with_tickets(last: int) -> Platform:
     """Return a platform with tickets, built once for each `last`."""
     platform = Platform()
-    data, platform.index = _filled(last)
+    data, platform.index = _platform_data(last)
     platform.data = dict(data)
     return platform
 
 
-def _faulty_write(kind, fault: Fault, position: int, has_rival: bool) -> bool:
+def _faulty_write(
+    log_type, fault: Fault, position: int, has_rival: bool
+) -> bool:
     """Submit with a fault at one write, deliver it late, then repeat.
 
     Return whether all reported results match the accepted submission.
     """
-    platform = prepared(63)
-    log, store = log_of(platform, kind, write_faults={position: fault})
-    told = {"x": outcome(log, ticket(64), "x")[0]}
+    platform = platform_with_tickets(63)
+    log, store = make_log(platform, log_type, write_faults={position: fault})
+    reported = {"x": outcome(log, ticket(64), "x")[0]}
     if has_rival:
-        rival, _ = log_of(platform, kind)
-        told["y"] = outcome(rival, ticket(64, "b"), "y")[0]
+        rival, _ = make_log(platform, log_type)
+        reported["y"] = outcome(rival, ticket(64, "b"), "y")[0]
     store.deliver()
-    if not is_truthful(platform, told, 64):
+    if not is_report_correct(platform, reported, 64):
         return False
-    repeat, _ = log_of(platform, kind)
-    told["x"] = outcome(repeat, ticket(64), "x")[0]
+    repeat, _ = make_log(platform, log_type)
+    reported["x"] = outcome(repeat, ticket(64), "x")[0]
     settled = (ResultCode.OK, ResultCode.TICKET_OUT_OF_ORDER)
-    return told["x"] in settled and is_truthful(platform, told, 64)
+    return reported["x"] in settled and is_report_correct(
+        platform, reported, 64
+    )
 
 
 class RestoredStoreTest(unittest.TestCase):
@@ -284,12 +300,12 @@
         """
         platform = Platform()
         if saved:
-            fill(platform, saved)
+            submit_tickets(platform, saved)
         platform.admin({"save": True})
-        state, _ = fill(platform, last, first=saved + 1)
-        entries = _logged(platform)
+        state, _ = submit_tickets(platform, last, first=saved + 1)
+        entries = _log_entries(platform)
         platform.admin({"restore": True})
-        log, _ = log_of(platform)
+        log, _ = make_log(platform)
         report = ReportedState(instance="i", number=last, digest=state.digest)
         with self.assertRaises(ChiverunError) as caught:
             log.submit(ticket(saved + 1, "b"), "b", [report])
@@ -305,19 +321,19 @@
     def test_fault_during_repair(self, fault):
         """Guards against a head ahead of missing entries."""
         for position in range(9):
-            platform = prepared(20)
+            platform = platform_with_tickets(20)
             platform.admin({"save": True})
-            state, _ = fill(platform, 90, first=21)
-            entries = _logged(platform)
+            state, _ = submit_tickets(platform, 90, first=21)
+            entries = _log_entries(platform)
             platform.admin({"restore": True})
-            log, store = log_of(platform, write_faults={position: fault})
+            log, store = make_log(platform, write_faults={position: fault})
             for _ in range(3):
                 try:
                     log.restore_head(state, entries[-5:])
                 except (StoreUnavailable, StoreAnswerLost):
                     continue
                 finally:
-                    head = log_of(platform)[0].head().entry.number
+                    head = make_log(platform)[0].head().entry.number
                     if head == 90:
                         self.assertEqual(90, log.load().number)
             store.deliver()
@@ -326,31 +342,31 @@
     def test_left_over_entry_is_replaced(self):
         """Guards against a log with entries of two histories."""
         platform = Platform()
-        fill(platform, 5)
+        submit_tickets(platform, 5)
         platform.admin({"save": True})
-        state, entries = fill(platform, 9, first=6)
+        state, entries = submit_tickets(platform, 9, first=6)
         platform.admin({"restore": True})
-        other = encode_entry(fill(Platform(), 7, author="b")[1][-1])
+        other = encode_entry(submit_tickets(Platform(), 7, author="b")[1][-1])
         platform.put("chiverun/ticket/7", other, None)
-        log, _ = log_of(platform)
+        log, _ = make_log(platform)
         self.assertTrue(log.restore_head(state, entries))
         self.assertEqual(state.digest, log.load().digest)
 
     def test_submission_in_between_is_a_fork(self):
         """Guards against silently losing either of two accepted tickets."""
         platform = Platform()
-        fill(platform, 5)
+        submit_tickets(platform, 5)
         platform.admin({"save": True})
-        state, entries = fill(platform, 8, first=6)
+        state, entries = submit_tickets(platform, 8, first=6)
         platform.admin({"restore": True})
-        fill(platform, 6, first=6, author="b")
-        log, _ = log_of(platform)
+        submit_tickets(platform, 6, first=6, author="b")
+        log, _ = make_log(platform)
         with self.assertRaises(ChiverunError) as caught:
             log.restore_head(state, entries)
         self.assertEqual(ResultCode.TICKET_FORK, caught.exception.code)
         self.assertEqual("b", log.head().entry.ticket.author)
         old = ReportedState(instance="i", number=6, digest=entries[0].digest)
-        fill(platform, 7, first=7, author="b")
+        submit_tickets(platform, 7, first=7, author="b")
         with self.assertRaises(ChiverunError) as caught:
             log.submit(ticket(8, "b"), "x", [old])
         self.assertEqual(ResultCode.TICKET_FORK, caught.exception.code)
@@ -358,19 +374,19 @@
     def test_interrupted_repair_is_not_a_lost_race(self):
         """Guards against a lost race reported while the base is ahead."""
         platform = Platform()
-        fill(platform, 5)
+        submit_tickets(platform, 5)
         platform.admin({"save": True})
-        state, _ = fill(platform, 8, first=6)
+        state, _ = submit_tickets(platform, 8, first=6)
         platform.admin({"restore": True})
-        log, _ = log_of(platform)
+        log, _ = make_log(platform)
         self.assertTrue(log.compact(state))
         self.assertEqual(
             ResultCode.STORE_BEHIND, outcome(log, ticket(6), "x")[0]
         )
 
 
-def _logged(platform: Platform) -> list[Entry]:
-    log, _ = log_of(platform)
+def _log_entries(platform: Platform) -> list[Entry]:
+    log, _ = make_log(platform)
     last = log.head().entry.number
     found = [log.entry(n) for n in range(max(1, last - 255), last + 1)]
     return [entry for entry in found if entry]
@@ -380,14 +396,14 @@
     @params(b"", b"\x00", b"\xff" * 40, b"\x84", b"flip")
     def test_each_value_damaged(self, data):
         """Guards against decode errors without a result code."""
-        state = log_of(prepared(70))[0].load()
-        for key in prepared(70).data:
-            platform = prepared(70)
+        state = make_log(platform_with_tickets(70))[0].load()
+        for key in platform_with_tickets(70).data:
+            platform = platform_with_tickets(70)
             old = platform.data[key][0]
             middle = len(old) // 2
             flipped = old[:middle] + b"\x7f" + old[middle + 1 :]
             platform.put(key, flipped if data == b"flip" else data, None)
-            log, _ = log_of(platform)
+            log, _ = make_log(platform)
             try:
                 self.assertEqual(state.digest, log.load().digest, key)
             except (ChiverunError, StoreUnavailable):
@@ -401,8 +417,8 @@
 
     def test_image_round_trip_and_history(self):
         """Guards against accepting a whole state of another history."""
-        state, entries = fill(Platform(), 10)
-        other, _ = fill(Platform(), 10, author="b")
+        state, entries = submit_tickets(Platform(), 10)
+        other, _ = submit_tickets(Platform(), 10, author="b")
         again = decode_state(encode_state(state))
         self.assertEqual(state, again)
         self.assertIs(True, again.follows(4, entries[3].digest))
@@ -414,12 +430,12 @@
         platform = Platform()
         for number in range(1, 701):
             faults = {number % 6: FAULTS[number % 4]} if number % 5 else {}
-            log, store = log_of(platform, write_faults=faults)
+            log, store = make_log(platform, write_faults=faults)
             while outcome(log, ticket(number), f"s{number}")[0]:
                 pass
             store.deliver()
             self.assertLessEqual(len(platform.data), KEYS_MAX + 64)
-        log, _ = log_of(platform)
+        log, _ = make_log(platform)
         self.assertEqual(700, log.load().number)
         self.assertIsNotNone(log.entry(700 - ENTRIES_KEPT + 1))
 
@@ -438,7 +454,7 @@
 
 class DifferentialTest(unittest.TestCase):
     @params((NaiveLog, False), (TicketLog, True))
-    def test_log_against_a_model(self, kind, holds):
+    def test_log_against_a_model(self, log_type, is_expected_correct):
         """Guards against results that differ from the accepted tickets.
 
         Random faults and rivals are run on the log and on a model.
@@ -448,16 +464,16 @@
         @settings(derandomize=True, max_examples=150, deadline=None)
         @given(st.lists(_STEP, min_size=1, max_size=12))
         def run(steps):
-            problem = _differs(kind, steps)
+            problem = _find_difference(log_type, steps)
             seen.bad += problem is not None
-            if holds:
+            if is_expected_correct:
                 self.assertIsNone(problem)
 
         run()
-        self.assertEqual(not holds, seen.bad > 0)
+        self.assertEqual(not is_expected_correct, seen.bad > 0)
 
 
-def _differs(kind, steps) -> str | None:
+def _find_difference(log_type, steps) -> str | None:
     """Run steps on a log and a model; return the first difference."""
     platform = Platform()
     heads: list[Entry] = []
@@ -470,19 +486,19 @@
         return done
 
     platform.put = observed
-    told: list[tuple[ResultCode, int, str]] = []
+    reported: list[tuple[ResultCode, int, str]] = []
     for index, step in enumerate(steps):
         number = (heads[-1].number if heads else 0) + step["offset"]
 
         def rival(number=number, index=index):
-            log, _ = log_of(platform, kind)
+            log, _ = make_log(platform, log_type)
             code, _ = outcome(log, ticket(number, "r"), f"r{index}")
-            told.append((code, number, f"r{index}"))
+            reported.append((code, number, f"r{index}"))
 
         at, failing = step["rival_at"], step["failing_read"]
-        log, store = log_of(
+        log, store = make_log(
             platform,
-            kind,
+            log_type,
             write_faults={step["position"]: step["fault"]},
             failing_reads=set() if failing is None else {failing},
             before_call={} if at is None else {at: rival},
@@ -491,26 +507,26 @@
             code, _ = outcome(log, ticket(number), f"s{index}")
         except StoreUnavailable:
             code = ResultCode.STORE_UNAVAILABLE
-        told.append((code, number, f"s{index}"))
+        reported.append((code, number, f"s{index}"))
         if step["deliver"]:
             store.deliver()
     # The model is a list of heads with consecutive numbers.
     if [e.number for e in heads] != list(range(1, len(heads) + 1)):
         return "a number was accepted twice or left out"
     model = {e.number: e.submission for e in heads}
-    for code, number, submission in told:
+    for code, number, submission in reported:
         is_in = model.get(number) == submission
         if code is ResultCode.OK and not is_in:
-            return f"{submission} was told accepted"
+            return f"{submission} was reported accepted"
         if code in _NOT_ACCEPTED and is_in:
-            return f"{submission} was told not accepted"
-    if kind is TicketLog:
+            return f"{submission} was reported not accepted"
+    if log_type is TicketLog:
         plain: dict[str, int] = {}
         for entry in heads:
             plain.update(
                 {r.name: r.in_flight_max for r in entry.ticket.region}
             )
-        state = log_of(platform)[0].load()
+        state = make_log(platform)[0].load()
         if {r.name: r.in_flight_max for r in state.of(Region).values()} != (
             plain
         ):
