--- a/chiverun/core/idempotency.py
+++ b/chiverun/core/idempotency.py
@@ -104,7 +104,7 @@
     instance, boot_id
         The issuer; both are part of each key.
     clock : Clock
-        Keys expire `KEY_LIFETIME_S` after they have been issued.
+        Keys expire `KEY_LIFETIME_S` after their issue (monotonic time).
     """
 
     def __init__(
@@ -148,7 +148,7 @@
             if row is None:
                 return _reject_unlisted(key, self._boot_id)
             if row.fingerprint not in ("", fingerprint):
-                # Applies to this request; the original one may have run.
+                # This request did not run; the one that used the key may have.
                 return Reject(
                     outcome=Outcome.NOT_RUN, code=ResultCode.KEY_REUSED
                 )
--- a/chiverun/core/settings.py
+++ b/chiverun/core/settings.py
@@ -156,10 +156,12 @@
             if key not in sections[section]:
                 raise ChiverunError(
                     ResultCode.SETTING_UNKNOWN,
-                    f"[{section}] {key} is unknown; valid: "
-                    f"{', '.join(sections[section])}",
+                    f"settings file {path}: [{section}] {key} is unknown; "
+                    f"valid: {', '.join(sections[section])}",
                 )
-            values[key] = _parse_value(f"[{section}] {key}", key, text.strip())
+            values[key] = _parse_value(
+                f"settings file {path}: [{section}] {key}", key, text.strip()
+            )
     for section, keys in sections.items():
         for key in keys:
             if key not in values and _is_required(kind, key):
@@ -205,8 +207,9 @@
 
 def _parse_address_pair(setting: str, text: str) -> tuple[Address, Address]:
     announced, _, reachable = text.partition("=")
-    return _parse_address(setting, announced), _parse_address(
-        setting, reachable
+    return (
+        _parse_address(setting, announced),
+        _parse_address(setting, reachable),
     )
 
 
--- a/chiverun/core/timer.py
+++ b/chiverun/core/timer.py
@@ -35,7 +35,7 @@
         self._queue: list[_ScheduledCall] = []
         self._sequence = itertools.count()
         self._changed = threading.Condition()
-        self._stopping = False
+        self._is_stopping = False
         self._thread = threading.Thread(
             target=self._run, daemon=True, name="timer"
         )
@@ -59,7 +59,7 @@
     def stop(self) -> None:
         """Stop calling subscribers and join the timer thread."""
         with self._changed:
-            self._stopping = True
+            self._is_stopping = True
             self._changed.notify()
         if self._thread.is_alive():
             self._thread.join(timeout=2)
@@ -83,7 +83,7 @@
     def _wait_for_next(self) -> _ScheduledCall | None:
         """Wait for the next due call; return None when stopping."""
         with self._changed:
-            while not self._stopping:
+            while not self._is_stopping:
                 now = self._clock.monotonic()
                 if self._queue and self._queue[0].due_at <= now:
                     return heapq.heappop(self._queue)
--- a/tests/core/test_ticketlog.py
+++ b/tests/core/test_ticketlog.py
@@ -230,10 +230,10 @@
             write_faults={1: Fault.LOST_AFTER},
             failing_reads=set(bad),
         )
-        works = iter(
+        actions = iter(
             [lambda: submit_tickets(platform, 4, first=4, author="b")]
         )
-        log._sleep = lambda _s: next(works, lambda: None)()
+        log._sleep = lambda _s: next(actions, lambda: None)()
         code, _ = outcome(log, ticket(3), "x")
         self.assertTrue(is_report_correct(platform, {"x": code}, 3), code)
         if first_failing is None:
