--- a/chiverun/runtime/dialect.py
+++ b/chiverun/runtime/dialect.py
@@ -1,4 +1,4 @@
-"""What the request path needs to know of a platform's headers."""
+"""Interface to the HTTP headers of a platform."""
 
 import dataclasses
 from typing import Protocol
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RequestFacts:
-    """What a client says of its request; `deadline_s` counts from now."""
+    """Request metadata from headers; `deadline_s` is the time left."""
 
     request_id: str
     affinity_key: str
@@ -22,10 +22,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ServerLoad:
-    """A server's report of itself.
+    """Load reported by a server.
 
-    `slowdown` is how long work takes on its machine at this moment, 1 as
-    usual.
+    `slowdown` is the current run time relative to the normal one (1.0).
     """
 
     running: int
@@ -36,10 +35,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ResponseFacts:
-    """What a server says with a response.
+    """Response metadata from headers.
 
-    `not_run` proves that the request did not run; `is_other_server` tells
-    that the address belongs to another server now.
+    `not_run` proves that the request did not run; `is_other_server` means
+    that the address now belongs to another server.
     """
 
     request_id: str | None
@@ -52,7 +51,7 @@
 
 
 class Dialect(Protocol):
-    """A platform's own headers, read and written."""
+    """Reads and writes the headers of a platform."""
 
     def request_facts(self, request: "IncomingRequest") -> RequestFacts: ...
 
--- a/chiverun/runtime/directory.py
+++ b/chiverun/runtime/directory.py
@@ -1,4 +1,4 @@
-"""Which machines a client should connect to."""
+"""Look-up of the machines that a client should connect to."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 
 class Directory:
-    """Answers look-ups with machines of the client's own region."""
+    """Answers look-ups with machines of the client's region."""
 
     def __init__(
         self, *, table: PeerTable, leaving: Callable[[], bool]
@@ -23,10 +23,10 @@
         self._loop = asyncio.get_running_loop()
 
     def addresses(self, region: RegionName, zone: ZoneName) -> list[Address]:
-        """Return entry addresses, those of the client's zone first.
+        """Return entry addresses, starting with those in the client's zone.
 
-        Machines of other regions are named only if the client's own region
-        has none that this machine hears.
+        Machines of other regions are returned only if no live machine of
+        the client's region is known.
         """
         machines = self._table.live(self._loop.time())
         if not self._leaving():
--- a/chiverun/runtime/edge.py
+++ b/chiverun/runtime/edge.py
@@ -1,4 +1,4 @@
-"""One edge instance: assembly, start, reload and stop."""
+"""Edge instance: wiring, startup, settings reload and graceful shutdown."""
 
 import asyncio
 import signal
@@ -36,22 +36,22 @@
 
 _LOG = logbook.Logger("edge")
 
-# Callers' cached look-ups have ended by then.
+# Look-up answers that clients have cached expire within this time.
 STOP_LINGER_S = 3.2
-# No request came for so long: callers have gone elsewhere.
+# Clients have moved to other instances after this time without a request.
 STOP_QUIET_S = 0.5
-# Idle connections are closed by then even if requests still come: one that
-# arrives while the process ends would get no answer.
+# Idle connections are closed after this time even if requests still come in:
+# one that arrives while the process exits would get no response.
 STOP_CLOSE_S = 4.2
-# Kept of the grace period for closing: sockets linger and the interpreter
-# takes its time on a slow machine.
+# Part of the grace period reserved for exit: sockets linger, and the
+# interpreter shuts down slowly on a slow machine.
 STOP_MARGIN_S = 0.9
 _STOP_POLL_S = 0.05
 _RESTART_PAUSE_S = 0.5
 
 
 class Edge:
-    """An instance that serves clients by the catalog of its platform."""
+    """Instance that serves clients according to the platform's catalog."""
 
     def __init__(
         self,
@@ -111,7 +111,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def is_ready(self) -> bool:
-        """Tell whether clients should connect to this instance."""
+        """Return whether clients should connect to this instance."""
         return self.follower.is_current and not self.is_stopping()
 
     async def _handle(self, incoming: IncomingRequest) -> OutgoingResponse:
@@ -127,16 +127,21 @@
         return self.cfg.bounds.stop_grace_s - STOP_MARGIN_S
 
     def is_stopping(self) -> bool:
-        """Tell whether this instance was asked to stop."""
+        """Return whether a stop has been requested."""
         return self._stopping.is_set()
 
     async def start(self, handlers: dict[Address, Handler]) -> None:
-        """Listen and follow the catalog; `handlers` serve other addresses.
+        """Start listeners and background tasks.
+
+        Parameters
+        ----------
+        handlers : dict
+            Handlers for addresses other than the client entry address.
 
         Raises
         ------
         ChiverunError
-            PORT_IN_USE.
+            With PORT_IN_USE if an address cannot be bound.
         """
         self.follower.start()
         await self._listen(self.cfg.entry, self._entry)
@@ -155,7 +160,7 @@
         )
 
     async def run(self) -> None:
-        """Serve until asked to stop, then leave gracefully."""
+        """Serve until a stop is requested, then shut down gracefully."""
         self._loop.add_signal_handler(signal.SIGTERM, self.ask_stop)
         self._loop.add_signal_handler(signal.SIGINT, self.ask_stop)
         self._loop.add_signal_handler(signal.SIGHUP, self._reload)
@@ -164,7 +169,7 @@
         self._close()
 
     def _reload(self) -> None:
-        """Read the settings again; what is not valid changes nothing."""
+        """Read the settings again; invalid settings change nothing."""
         try:
             cfg = self._read_settings()
         except ChiverunError as exc:
@@ -173,7 +178,7 @@
         _LOG.info("reloaded", extra={"changed": cfg != self.cfg})
 
     def ask_stop(self) -> None:
-        """Begin to leave; repeats are ignored."""
+        """Begin a graceful shutdown; repeated calls have no effect."""
         if self.is_stopping():
             return
         self._stop_asked_at = self._loop.time()
@@ -181,10 +186,10 @@
         self._entry.closing = True
         self.follower.leaving = True
         self.follower.send_beats()
-        _LOG.info("stop asked", extra={"active": self._entry.active()})
+        _LOG.info("stop requested", extra={"active": self._entry.active()})
 
     async def _leave(self) -> None:
-        """Serve what still comes, then what runs, within the grace period."""
+        """Serve late and running requests within the grace period."""
         last_s = self._stop_after_s()
         while (passed_s := self._loop.time() - self._stop_asked_at) < last_s:
             await asyncio.sleep(_STOP_POLL_S)
@@ -223,7 +228,7 @@
             ) from exc
 
     def _spawn(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
-        """Run endless work; what fails is logged and begun again."""
+        """Run an endless coroutine; log failures and restart it."""
 
         async def supervise() -> None:
             while True:
@@ -232,7 +237,10 @@
                 except asyncio.CancelledError:
                     raise
                 except Exception:
-                    _LOG.exception("work failed", extra={"work": name})
+                    _LOG.exception(
+                        "background task failed; restarting it",
+                        extra={"work": name},
+                    )
                 await asyncio.sleep(_RESTART_PAUSE_S)
 
         self._tasks.append(self._loop.create_task(supervise(), name=name))
@@ -241,11 +249,11 @@
         return self.follower.table.known
 
     def _near_zones(self) -> list[ZoneName]:
-        """Return the zone of each other live machine of the region."""
+        """Return the zone of each other live machine in the region."""
         return [m.zone for m in self.follower.table.live(self._loop.time())]
 
     def _sync(self) -> None:
-        """Take over a change of the catalog."""
+        """Apply a catalog change to the routes and the server table."""
         state = self.follower.replica.desired_state()
         if state is None:
             return
--- a/chiverun/runtime/edgemetrics.py
+++ b/chiverun/runtime/edgemetrics.py
@@ -27,7 +27,7 @@
 
 
 class EdgeMetrics:
-    """Instruments, and their text form for scrapers."""
+    """Metric instruments of an edge instance and their Prometheus endpoint."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
@@ -49,12 +49,12 @@
         )
 
     def note_request(self, status: int, seconds: float) -> None:
-        """Count a request that has been answered."""
+        """Count a completed request and record its latency."""
         self._requests.add(1, {"status": str(status)})
         self._latency.record(seconds)
 
     async def handle(self, incoming: IncomingRequest) -> OutgoingResponse:
-        """Serve the metrics as text."""
+        """Return the metrics in the Prometheus text format."""
         return OutgoingResponse(
             status=200,
             headers=[("Content-Type", CONTENT_TYPE)],
--- a/chiverun/runtime/events.py
+++ b/chiverun/runtime/events.py
@@ -1,4 +1,4 @@
-"""Jobs of the store worker, its reports, and orders to the control plane."""
+"""Jobs for the store worker, its reports, and control plane events."""
 
 import dataclasses
 from typing import TYPE_CHECKING
@@ -14,12 +14,9 @@
     from chiverun.core.seats import SeatRecord
 
 
-# Jobs for the store worker, and what it reports back.
-
-
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ClaimSeats:
-    """Claim seats of the zone in the store's record."""
+    """Claim seats in the zone's record in the store."""
 
     plan: seat_rules.ClaimPlan
     me: Owner
@@ -27,14 +24,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReadSeats:
-    """Read the zone's seat record; `asked_at` comes back unchanged."""
+    """Read the zone's seat record; the report repeats `asked_at`."""
 
     asked_at: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WriteSeats:
-    """Write owners, and give up seats (by epoch), in the record."""
+    """Write owners and release seats (by epoch) in the seat record."""
 
     owners: dict[SeatIndex, Owner]
     given_up: dict[SeatIndex, int]
@@ -45,9 +42,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SeatsClaimed:
-    """The claims that took effect, and the record after them.
+    """Successful claims and the seat record after them.
 
-    `record` is None when the store did not answer.
+    `record` is None if the store did not respond.
     """
 
     claims: tuple[seat_rules.Claim, ...]
@@ -56,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SeatsRead:
-    """The seat record as read for a `ReadSeats` job, None if unreadable."""
+    """Result of a `ReadSeats` job; `record` is None if it is unreadable."""
 
     record: "SeatRecord | None"
     asked_at: float
@@ -64,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SeatsWritten:
-    """Whether a `WriteSeats` job took effect."""
+    """Result of a `WriteSeats` job; `is_done` is whether it succeeded."""
 
     is_done: bool
     job: WriteSeats
@@ -79,33 +76,33 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StateRead:
-    """A whole state read from the store."""
+    """A complete state read from the store."""
 
     state: State
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HeadForked:
-    """The store's head is not of the history of the state in force."""
+    """The store's head does not belong to the state's history."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ServersLeaving:
-    """Backend servers that are leaving, by the instance list or health."""
+    """Servers that are draining, by the instance list or health checks."""
 
     servers: frozenset[ServerName]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Leave:
-    """The instance begins to stop: it leaves look-up answers."""
+    """The instance is stopping and is removed from look-up answers."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HandOver:
-    """The instance has no work left: it gives its seats away."""
+    """The instance has finished its work and transfers its seats."""
 
 
 StoreReport = (
--- a/chiverun/runtime/follower.py
+++ b/chiverun/runtime/follower.py
@@ -1,8 +1,8 @@
-"""Keeps the catalog current: from the store, or from peers without it.
+"""Keeps the catalog replica current, from the store or from peers.
 
-In each region one machine reads the store and relays what changed; the
-others read only when the relay falls silent. A machine that the store turns
-away pulls from peers.
+In each region one machine reads the store and relays changes; the others
+read only when the relay falls silent. A machine whose store reads fail pulls
+changes from peers.
 """
 
 import asyncio
@@ -37,21 +37,21 @@
 
 _LOG = logbook.Logger("catalog")
 
-# Pause between two reads of the store. Servers report all the time, so a
-# watch returns at once; the pause bounds the calls.
+# Pause between store reads. Servers report continuously, so a watch returns
+# immediately; the pause bounds the call rate.
 READ_PAUSE_S = 0.35
 WATCH_WAIT_S = 0.8
-# Period of the lists of live machines in relayed updates.
+# Interval at which relayed updates include the list of live machines.
 LIST_PERIOD_S = 1.0
 RETRY_PAUSE_S = 0.4
-# A shorter gap is no outage in which records can have lapsed: a quiet store
-# is read each 1.2 s.
+# A shorter gap between reads is not an outage in which records can expire: a
+# store without changes is read every 1.2 s.
 OUTAGE_MIN_S = 2.5
 _CHECK_PERIOD_S = 0.1
 
 
 class CatalogFollower:
-    """Owns the replica and the table of peers of one machine."""
+    """Maintains the replica and the peer table of a machine."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         self._has_read = False
 
     def start(self) -> None:
-        """Receive from peers."""
+        """Start receiving messages from peers."""
         self._peers.start(
             lambda payload: self._loop.call_soon_threadsafe(
                 self._receive, payload
@@ -94,17 +94,17 @@
 
     @property
     def is_current(self) -> bool:
-        """Tell whether a desired state is known."""
+        """Whether the replica holds a desired state."""
         return self.replica.desired_state() is not None
 
     def age_s(self) -> float:
-        """Return how long ago the catalog was known to be current."""
+        """Return the time since the catalog was last confirmed as current."""
         return self._loop.time() - max(
             self._read_at, self.table.relay_heard_at
         )
 
     async def follow(self) -> None:
-        """Read the store whenever this machine has to; never returns."""
+        """Read the store while this machine is the reader; never returns."""
         while True:
             if not self._must_read():
                 await asyncio.sleep(_CHECK_PERIOD_S)
@@ -119,7 +119,7 @@
                 await asyncio.sleep(READ_PAUSE_S)
 
     async def beat(self) -> None:
-        """Send signs of life and expire old rows; never returns."""
+        """Send heartbeats and expire old rows; never returns."""
         while True:
             self.send_beats()
             dropped = self.replica.expire(self._loop.time())
@@ -129,7 +129,7 @@
             await asyncio.sleep(BEAT_PERIOD_S)
 
     def send_beats(self) -> None:
-        """Send one sign of life to the machines that need it."""
+        """Send a heartbeat to the machines that expect it."""
         message = edgemessages.encode(
             Beat(
                 machine=self._me,
@@ -167,7 +167,7 @@
                 )
             except HistoryGone:
                 _LOG.warning(
-                    "store forgot its history",
+                    "store history has expired; reading the full catalog",
                     extra={"as_of": self.replica.as_of},
                 )
                 self._needs_listing = True
@@ -177,7 +177,7 @@
         await self._register()
 
     async def _register(self) -> None:
-        """Write this machine's record unless it is there as it should be."""
+        """Write this machine's record unless it is already up to date."""
         known = [
             (row.revision, row.record)
             for row in self.replica.rows.values()
@@ -197,7 +197,7 @@
         if not self._reads_store:
             _LOG.info("store regained", extra={"away_s": round(away_s, 3)})
         if self._has_read and away_s >= OUTAGE_MIN_S:
-            # Neither own reads nor a relay came through: the store was away.
+            # Neither store reads nor a relay succeeded: the store was down.
             self._lapse_until = self._read_at + LAPSE_GRACE_S
         self._has_read = True
         self._reads_store = True
@@ -236,9 +236,9 @@
         self._relay(since, changed)
 
     def _relay(self, since: Revision, changed: list[Versioned]) -> None:
-        """Tell the machines of the region, also that nothing changed."""
+        """Send changes, or that there are none, to the region's machines."""
         now = self._loop.time()
-        # Own reads replace the relay for this machine as well.
+        # This machine's own store reads count as relay messages.
         self.table.relay_heard_at = now
         if not self._relays or not since:
             return
@@ -263,7 +263,7 @@
             self._peers.send(machine.peer, message)
 
     def _pull(self) -> None:
-        """Ask a machine of each region for what changed."""
+        """Request changes from a machine in each region."""
         message = edgemessages.encode(
             Pull(reply_to=self._me.peer, as_of=self.replica.as_of)
         )
@@ -281,7 +281,9 @@
         try:
             message = edgemessages.decode(payload)
         except msgspec.MsgspecError as exc:
-            _LOG.warning("message unreadable", extra={"reason": str(exc)})
+            _LOG.warning(
+                "cannot decode peer message", extra={"reason": str(exc)}
+            )
             return
         match message:
             case Beat():
@@ -313,7 +315,7 @@
     def _take_update(self, update: Update) -> None:
         now = self._loop.time()
         if update.since > self.replica.as_of:
-            # Something in between was missed.
+            # An earlier update has been missed.
             row = self.table.rows.get(update.sender)
             if row is not None:
                 self._peers.send(
--- a/chiverun/runtime/healthcheck.py
+++ b/chiverun/runtime/healthcheck.py
@@ -1,4 +1,4 @@
-"""Polls backend servers and the instance list for servers that leave."""
+"""Detects draining servers by health checks and the instance list."""
 
 import contextlib
 import threading
@@ -32,11 +32,11 @@
 
 
 class HealthCheck:
-    """Checks the servers of this zone once a second, on its own threads.
+    """Checks the servers of this zone once per second on separate threads.
 
-    A server that does not answer holds up neither the checks of others nor
-    the start of the next round. The instance list is read on a thread of its
-    own, since a read takes long while the platform is down.
+    A server that does not respond delays neither the checks of other servers
+    nor the next round. The instance list has its own thread because reads
+    are slow while the platform is down.
     """
 
     def __init__(
@@ -68,12 +68,12 @@
         ]
 
     def start(self) -> None:
-        """Begin to check."""
+        """Start the checks."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """End after the present checks."""
+        """Stop after the checks in progress."""
         self._stopping.set()
 
     def _repeat(self, check: Callable[[], None], period_s: float) -> None:
@@ -83,14 +83,14 @@
             try:
                 check()
             except Exception:
-                # A fault in one round must not end the checks.
-                _LOG.exception("check failed")
+                # An error in one round must not end the checks.
+                _LOG.exception("health check round failed")
 
     def check_servers(self) -> None:
-        """Start a check of each server whose last one has ended.
+        """Start a check of each server without a check in progress.
 
-        The threads are daemons: a server that sends its answer byte by byte
-        must not hold up the end of the process.
+        The threads are daemons so that a server that sends its response byte
+        by byte cannot delay the exit of the process.
         """
         for server in self._servers():
             with self._lock:
@@ -111,10 +111,10 @@
                 self._checking.discard(server.name)
 
     def read_list(self) -> None:
-        """Read the instance list, on the zone's watchers only.
+        """Read the instance list if this instance is a watcher of its zone.
 
-        While it cannot be read, what it said last holds: a server that is
-        leaving does not come back because the platform is down.
+        If the read fails, the last list stays in use: a draining server must
+        not get requests again because the platform is down.
         """
         if self._instances is None or not self._plane.is_watcher():
             return
@@ -130,7 +130,7 @@
         return [s for s in servers if s.zone == zone]
 
     def _says_so(self, server: Server) -> bool:
-        """Ask a server whether it is draining."""
+        """Send a health check; return whether the server is draining."""
         end = self._backends.exchange(
             server.address,
             Outgoing(
@@ -148,7 +148,7 @@
 
 
 def is_draining(end: ExchangeEnd) -> bool:
-    """Tell whether a health check's end says that the server is draining."""
+    """Return whether a health check's result shows a draining server."""
     match end:
         case Shed(reason=ShedReason.DRAINING):
             return True
--- a/chiverun/runtime/hedging.py
+++ b/chiverun/runtime/hedging.py
@@ -1,4 +1,4 @@
-"""Attempts of one request that run side by side; the first answer counts."""
+"""Request hedging: parallel attempts of which the first answer is used."""
 
 import contextvars
 import threading
@@ -17,7 +17,7 @@
 
 
 class HedgeThreads:
-    """A bounded number of threads for attempts; thread-safe."""
+    """Bounded thread pool for attempts; thread-safe."""
 
     def __init__(self, *, threads: int = HEDGE_THREADS) -> None:
         self._free = threading.Semaphore(threads)
@@ -26,12 +26,12 @@
         )
 
     def start(self, send: Send) -> "Race | None":
-        """Start a race with its first attempt; None if all threads work."""
+        """Start the first attempt; return None if no thread is free."""
         race = Race(self)
         return race if race.add(send) else None
 
     def submit(self, call: Callable[[], None]) -> bool:
-        """Run a call on a thread, if one is free."""
+        """Run a call on a free thread; return whether there was one."""
         if not self._free.acquire(blocking=False):
             return False
         context = contextvars.copy_context()
@@ -53,7 +53,7 @@
 
 
 class Race:
-    """Attempts of one request; thread-safe."""
+    """Parallel attempts of one request; thread-safe."""
 
     def __init__(self, threads: HedgeThreads) -> None:
         self._threads = threads
@@ -62,7 +62,7 @@
         self._ends: list[ExchangeEnd] = []
 
     def add(self, send: Send) -> bool:
-        """Start an attempt, if a thread is free for it."""
+        """Start an attempt; return whether a thread was free for it."""
         cancellation = Cancellation()
 
         def run() -> None:
@@ -83,20 +83,20 @@
         return False
 
     def wait(self, seconds: float) -> None:
-        """Wait until an attempt has ended, at most for a time."""
+        """Wait until an attempt has ended or `seconds` have passed."""
         with self._changed:
             self._changed.wait_for(lambda: self._ends, seconds)
 
     def has_end(self) -> bool:
-        """Tell whether an attempt has ended."""
+        """Return whether an attempt has ended."""
         with self._changed:
             return bool(self._ends)
 
     def result(self) -> ExchangeEnd:
         """Wait for an answer or the end of all attempts; cancel the rest.
 
-        Without an answer, an end that leaves open whether the request ran
-        counts more than one that proves that it did not.
+        Without an answer, an end after which the request may have run takes
+        precedence over one that proves that it did not run.
         """
         with self._changed:
             self._changed.wait_for(
--- a/chiverun/runtime/publishing.py
+++ b/chiverun/runtime/publishing.py
@@ -17,10 +17,11 @@
 if TYPE_CHECKING:
     from chiverun.runtime.context import ControlContext
 
-# A remote instance not heard of for this long is left out of look-ups.
+# Remote instances without an advert for this long are left out of look-ups.
 REMOTE_LISTED_S = 15.0
-# Free slots in the views are at most this much older than the adverts; at
-# every tick the views took most of the control plane's time.
+# Period at which the zone views are rebuilt, and so the maximum lag of their
+# free slots behind the adverts. Rebuilding them at every tick took most of
+# the control plane's time.
 _VIEWS_PERIOD_S = 0.5
 
 
@@ -58,7 +59,7 @@
 def _current_views(
     ctx: "ControlContext", now: float
 ) -> dict[ZoneName, ZoneView]:
-    """Return the views, made anew when due or when members changed."""
+    """Return the zone views, rebuilt when outdated or members changed."""
     key = (ctx.members.version, ctx.state.number, ctx.is_leaving)
     if key != ctx.views_key or now - ctx.views_at >= _VIEWS_PERIOD_S:
         ctx.views_key = key
@@ -85,7 +86,7 @@
     if row.advert is None or row.advert.leaving:
         return False
     if row.advert.number == 0:
-        # It has just started and would refuse every request.
+        # It has just started without any state and refuses every request.
         return False
     if row.zone == ctx.identity.zone:
         return row.is_live
--- a/chiverun/runtime/request.py
+++ b/chiverun/runtime/request.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests against the state in force."""
+"""Parses callers' requests against the state in force."""
 
 import dataclasses
 import uuid
@@ -29,14 +29,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EntryRequest:
-    """A caller's request with what the state says about it."""
+    """A parsed request with its service, class, deadline and regions."""
 
     work: Work
     content: Content
 
 
 class RequestReader:
-    """Finds service, class, deadline and regions of a request."""
+    """Determines service, class, deadline and regions of a request."""
 
     def __init__(
         self,
@@ -52,7 +52,13 @@
         self._blocks = blocks
 
     def read(self, req: Incoming) -> EntryRequest:
-        """Read a request; raises a 1xx code or NOT_READY."""
+        """Parse a request.
+
+        Raises
+        ------
+        ChiverunError
+            With a 1xx code if the request is invalid, or with NOT_READY.
+        """
         state = self._plane.snapshot.state
         if not req.path.startswith(_PREFIX):
             raise ChiverunError(
@@ -92,12 +98,13 @@
         zone = state.of(Zone).get(self._zone)
         if zone is None:
             raise ChiverunError(
-                ResultCode.NOT_READY, f"zone {self._zone} is in no ticket"
+                ResultCode.NOT_READY,
+                f"zone {self._zone!r} is not in any ticket",
             )
         return zone.region
 
     def _origin(self, req: Incoming, state) -> RegionName | None:
-        """Return the caller's region; a peer that passes it on states it."""
+        """Return the caller's region, from a header if a peer forwards it."""
         table = self._blocks.get(state)
         origin = origin_region(state, table, req.remote)
         stated = RegionName(req.header(ORIGIN_HEADER.lower()))
@@ -118,7 +125,13 @@
 
 
 def match_class(service: Service, method: str, path: str) -> RequestClass:
-    """Return the first class that matches; raises CLASS_UNKNOWN."""
+    """Return the first matching class.
+
+    Raises
+    ------
+    ChiverunError
+        With CLASS_UNKNOWN if no class matches.
+    """
     for request_class in service.classes:
         if method in request_class.methods and path.startswith(
             request_class.path_prefix
--- a/chiverun/runtime/results.py
+++ b/chiverun/runtime/results.py
@@ -1,4 +1,4 @@
-"""What callers are told: results, responses, key fingerprints."""
+"""Results and responses for callers, and request fingerprints."""
 
 import xxhash
 
@@ -15,7 +15,7 @@
 
 
 def fingerprint(req: Incoming) -> str:
-    """Return a hash that binds a key to its request."""
+    """Return a hash that binds an idempotency key to its request."""
     hashed = xxhash.xxh3_128()
     for part in (req.method, req.path, req.query):
         hashed.update(part.encode() + b"\0")
@@ -26,7 +26,7 @@
 def make_result(
     end: ExchangeEnd, *, may_have_run: bool = False
 ) -> StoredResult:
-    """Return what a caller is told of an exchange's end."""
+    """Return the result that a caller gets for an exchange."""
     classified = classify(end)
     if isinstance(end, Answered):
         return StoredResult(
@@ -49,7 +49,7 @@
 
 
 def to_reply(result: StoredResult) -> Reply:
-    """Return the response with its outcome and code."""
+    """Return the response with the outcome and code headers."""
     return Reply(
         status=result.status,
         headers=(
@@ -62,7 +62,7 @@
 
 
 def unknown_key(key: IdempotencyKey, reason: str) -> Reply:
-    """Return the response to a key whose outcome nobody can tell."""
+    """Return the response for a key with an unknown outcome."""
     return error_reply(
         409,
         Outcome.UNKNOWN,
--- a/chiverun/runtime/selection.py
+++ b/chiverun/runtime/selection.py
@@ -1,4 +1,4 @@
-"""Which server a request is sent to."""
+"""Selects the server that a request is sent to."""
 
 import collections
 import dataclasses
@@ -22,22 +22,23 @@
 from chiverun.runtime.servertable import ServerRow
 from chiverun.runtime.servertable import ServerTable
 
-# A send without a response for this many times the usual time of its route
-# keeps further requests away from its server.
+# A server is stalled, and gets no further requests, while a send to it has
+# waited this many times the route's typical latency for a response.
 STALL_FACTOR = 4.0
 STALL_MIN_S = 0.4
-# Servers that a key's requests are spread over. Servers keep what they need
-# for a limited number of keys, so a key that goes everywhere is cold
-# everywhere.
+# Number of servers that a key's requests are spread over. Servers cache the
+# data of a limited number of keys, so a key sent to all servers would be
+# cold on all of them.
 KEY_SERVERS = 2
-# A server whose slots are all taken still gets a key's requests while they
-# are expected within so many objectives: on another server they may run cold.
+# A server without a free slot still gets a key's requests while the expected
+# latency is within this multiple of the objective: on another server the key
+# may be cold.
 OPEN_OBJECTIVES = 1.0
-# A run that is slower than this part of its objective is taken as one of a
-# cold object, which is expected to be warm the next time.
+# A run slower than this fraction of its objective counts as a run on a cold
+# cache; the next run on that server is expected to be warm.
 RUN_OBJECTIVE_PART = 0.5
-# A server that is loaded less runs keys of servers that are not open, rather
-# than that they are refused.
+# A server whose load is below this fraction of its slots serves keys of
+# servers that are not open, so that these requests are not refused.
 IDLE_LOAD_PART = 0.3
 _ORDERS_MAX = 4096
 
@@ -47,10 +48,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Placement:
-    """A request's key, what it may use and how long it takes.
+    """Routing key, permitted regions and expected latency of a request.
 
-    `usual_s` is the usual time of a response, `run_s` its part without the
-    wait for a slot.
+    `usual_s` is the typical response time, `run_s` the part of it without
+    the wait for a slot.
     """
 
     service: ServiceName
@@ -63,13 +64,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Overloaded:
-    """No server of a key would answer in time; `wait_s` is the shortest."""
+    """No server could respond in time; `wait_s` is the shortest wait."""
 
     wait_s: float
 
 
 class Selector:
-    """Chooses servers by region share, affinity and load."""
+    """Selects servers by region share, key affinity and load."""
 
     def __init__(
         self,
@@ -99,10 +100,10 @@
         tried: set[ServerName],
         now: float,
     ) -> ServerRow | Overloaded | None:
-        """Return the server for the next send; None if none may get it.
+        """Return the server for the next send, or None if none is eligible.
 
-        A region that is overloaded does not send to another one, so that
-        load moves no more requests between regions than the shares do.
+        An overloaded region does not spill over to another region: only the
+        region shares move requests between regions.
         """
         self._refresh()
         for region in self._regions(place):
@@ -125,7 +126,7 @@
             self._zone_shares.clear()
 
     def _regions(self, place: Placement) -> list[RegionName]:
-        """Return regions in the order in which they may be used."""
+        """Return the permitted regions in order of preference."""
         shares = self._shares_of(place.service, place.homes)
         first = place_of("region", place.key, shares, self._region)
         others = {
@@ -178,7 +179,7 @@
         return rows
 
     def _zone_of(self, place: Placement) -> ZoneName:
-        """Return the zone of the own region that a key goes to first."""
+        """Return the preferred zone of a key in the local region."""
         shares = self._zone_shares.get(place.service)
         if shares is None:
             capacity: dict[ZoneName, float] = {}
@@ -186,7 +187,7 @@
                 if row.region == self._region and row.is_usable:
                     zone = row.server.zone
                     capacity[zone] = capacity.get(zone, 0) + row.server.slots
-            # Clients choose evenly among the machines of their region.
+            # Clients spread evenly over the machines of their region.
             demand = collections.Counter([*self._near_zones(), self._zone])
             shares = fair_shares(capacity, demand, self._zone)
             self._zone_shares[place.service] = shares
@@ -214,7 +215,7 @@
             if now >= row.misdirected_until
             and standing(row.health, now) is Standing.OPEN
         ]
-        # Where all servers stall, they are overloaded rather than silent.
+        # If all servers are stalled, they are overloaded, not unresponsive.
         lively = [
             row for row in sound if not row.is_stalled(now, stall_s)
         ] or sound
@@ -222,7 +223,7 @@
             return self._first_allowed(_by_load(rows, now), spec, now)
         preferred = lively[:KEY_SERVERS]
         open_rows = [row for row in preferred if _is_open(row, place, now)]
-        # On any other server the object is most likely cold.
+        # The key's data is most likely cold on any other server.
         idle = [
             row
             for row in lively
@@ -231,7 +232,7 @@
         if not open_rows and not idle:
             waits = [_wait_s(row, place, now) for row in preferred]
             return Overloaded(wait_s=min(waits))
-        # Others follow for keys whose servers bear no more while cold.
+        # Other servers follow for keys whose servers are at the cold limit.
         others = [row for row in lively if _is_open(row, place, now)]
         ordered = [*open_rows, *_by_load(idle, now), *_by_load(others, now)]
         return self._first_allowed(ordered, spec, now)
@@ -257,7 +258,7 @@
 
 
 def _is_open(row: ServerRow, place: Placement, now: float) -> bool:
-    """Tell whether a server has a slot or would answer in time."""
+    """Return whether a server has a free slot or could respond in time."""
     if row.load.total(now) < row.server.slots:
         return True
     expected_s = _expected_s(row, place, now)
@@ -269,18 +270,18 @@
 
 
 def queue_factor(row: ServerRow, now: float) -> float:
-    """Return by how much the wait for a slot prolongs a run sent now."""
+    """Return the expected slowdown of a request sent now by queueing."""
     slots = row.server.slots
     return 1 + max(0.0, row.load.total(now) - slots + 1) / slots
 
 
 def _wait_s(row: ServerRow, place: Placement, now: float) -> float:
-    """Return how long a request sent now would wait for a slot."""
+    """Return the expected wait for a slot of a request sent now."""
     return place.run_s * (queue_factor(row, now) - 1)
 
 
 def _expected_s(row: ServerRow, place: Placement, now: float) -> float:
-    """Return when a request sent now would be answered."""
+    """Return the expected response time of a request sent now."""
     run_s = min(place.run_s, RUN_OBJECTIVE_PART * place.objective_s)
     return _wait_s(row, place, now) + run_s
 
@@ -295,7 +296,7 @@
 ) -> Placement:
     """Return the placement of a request.
 
-    One without an affinity key is spread evenly.
+    Requests without an affinity key are spread evenly.
     """
     key = affinity_key if affinity_key and route.sticky else request_id
     return Placement(
--- a/chiverun/runtime/sending.py
+++ b/chiverun/runtime/sending.py
@@ -1,4 +1,4 @@
-"""One send of a request to one server."""
+"""Sends a request to a backend server and records the result."""
 
 import asyncio
 import dataclasses
@@ -31,10 +31,10 @@
 
 CONNECT_TIMEOUT_S = 0.5
 RESPONSE_BYTES_MAX = 32 * 1024 * 1024
-# A connection that idled longer may be closed by its server at the moment
-# it is used, which leaves open whether the request ran.
+# A server may close a connection that has been idle for longer just as it is
+# reused, which leaves unknown whether the request ran.
 UNREPEATABLE_IDLE_MAX_S = 1.0
-# Kept connections are left this long before their server closes them.
+# Idle connections are discarded this long before the server closes them.
 KEEP_ALIVE_MARGIN_S = 0.5
 
 _HOP_BY_HOP = frozenset(
@@ -53,19 +53,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class SendResult:
-    """How a send ended and what the response said."""
+    """Result of a send and the metadata of its response."""
 
     end: ExchangeEnd
     facts: ResponseFacts | None = None
 
     @property
     def is_not_run(self) -> bool:
-        """Tell whether it is proved that the request did not run."""
+        """Whether the request is proven not to have run."""
         return isinstance(self.end, NotSent | Shed)
 
 
 class Sender:
-    """Sends requests and records what servers' responses tell."""
+    """Sends requests and records the health and load of servers."""
 
     def __init__(self, *, dialect: Dialect) -> None:
         self._dialect = dialect
@@ -82,7 +82,7 @@
         until: float,
         usual_s: float,
     ) -> SendResult:
-        """Send a request once; `until` is the loop's time of its deadline."""
+        """Send a request once; `until` is its deadline in event loop time."""
         number = next(self._numbers)
         started_at = self._loop.time()
         known_load = _known_load(row, started_at)
@@ -199,13 +199,13 @@
         _note_keep_alive(row, headers)
         is_named = facts.is_stamped and facts.request_id == request_id
         if end.status < 300 and not is_named:
-            # Nothing shows that the server made this success for the request.
+            # Nothing proves that this success belongs to the request.
             return SendResult(
                 end=Mismatched(request_id=facts.request_id or "none"),
                 facts=facts,
             )
         if any(name.lower() == "content-encoding" for name, _ in headers):
-            detail = "the body is not as the server made it"
+            detail = "response body was encoded in transit"
             return SendResult(end=Incomplete(detail=detail), facts=facts)
         if not facts.not_run:
             return SendResult(end=end, facts=facts)
@@ -249,7 +249,7 @@
         now = self._loop.time()
         said = result.facts
         _LOG.info(
-            "sent",
+            "send finished",
             extra={
                 "id": facts.request_id,
                 "key": facts.affinity_key,
@@ -270,7 +270,7 @@
 
 
 def _known_load(row: ServerRow, now: float) -> dict:
-    """Return the load that a choice rested on and the age of its report."""
+    """Return the load estimate at selection and the age of its report."""
     age_s = now - row.load.reported_at
     return {
         "load_at_choice": round(row.load.total(now), 1),
@@ -279,7 +279,7 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Return the headers that concern more than one connection."""
+    """Return the end-to-end headers, without hop-by-hop and framing ones."""
     named = {
         token.strip().lower()
         for name, value in headers
--- a/chiverun/runtime/servertable.py
+++ b/chiverun/runtime/servertable.py
@@ -1,4 +1,4 @@
-"""Rows of the backend servers that an edge instance sends to."""
+"""Table of the backend servers that an edge instance sends requests to."""
 
 import collections
 import dataclasses
@@ -21,17 +21,18 @@
 
 _LOG = logbook.Logger("servers")
 
-# Part of a server's connections that all machines together use.
+# Fraction of a server's connection limit that all machines use together.
 CONNECTIONS_PART = 0.85
-# A server at whose address another one answered is not tried for so long.
+# A server is skipped for this time after another one responded at its
+# address.
 MISDIRECTED_S = 3.0
-# Assumed for a response without a Keep-Alive header.
+# Idle timeout of a server that sends no Keep-Alive header.
 KEEP_ALIVE_DEFAULT_S = 4.0
 
 
 @dataclasses.dataclass(kw_only=True)
 class ServerRow:
-    """A server, what is known of it and the connections to it."""
+    """A server, its health and load, and the connections to it."""
 
     server: Server
     region: RegionName
@@ -41,7 +42,7 @@
     cold_until: float = float("-inf")
     misdirected_until: float = float("-inf")
     is_evacuated: bool = False
-    # Start of the oldest send without any response since.
+    # Start times of the sends that wait for a response, by send number.
     waiting: dict[int, float] = dataclasses.field(default_factory=dict)
     answered_at: float = float("-inf")
     idle: collections.deque[ClientConnection] = dataclasses.field(
@@ -52,13 +53,13 @@
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether its record and its zone allow requests."""
+        """Whether the server is ready and its zone is not evacuated."""
         return self.server.state is ServerState.READY and not self.is_evacuated
 
     def take_idle(
         self, now: float, idle_max_s: float
     ) -> ClientConnection | None:
-        """Return the connection used last, unless it idled too long."""
+        """Return the most recently used connection, if still fresh."""
         while self.idle:
             connection = self.idle.pop()
             idle_s = now - connection.idle_since
@@ -71,7 +72,7 @@
         return None
 
     def keep(self, connection: ClientConnection, now: float) -> None:
-        """Put a connection back, or count it as closed."""
+        """Return a connection to the pool, or discard it."""
         if connection.reusable:
             connection.idle_since = now
             self.idle.append(connection)
@@ -79,7 +80,7 @@
             self.discard(connection)
 
     def discard(self, connection: ClientConnection) -> None:
-        """Close a connection."""
+        """Close a connection and remove it from the count."""
         self.connections -= 1
         connection.abort()
 
@@ -89,7 +90,7 @@
             self.discard(self.idle.pop())
 
     def is_stalled(self, now: float, limit_s: float) -> bool:
-        """Tell whether a send waits too long and nothing came since."""
+        """Return whether the oldest send has waited past the limit."""
         if not self.waiting:
             return False
         oldest = min(self.waiting.values())
@@ -97,12 +98,12 @@
 
 
 class ServerTable:
-    """Rows by name, kept in step with the replica."""
+    """Server rows by name, kept in sync with the replica."""
 
     def __init__(self, *, machine: InstanceId) -> None:
         self.rows: dict[ServerName, ServerRow] = {}
         self.by_service: dict[ServiceName, list[ServerRow]] = {}
-        # Counts changes, so that orders computed from the rows can be kept.
+        # Incremented on each sync; invalidates caches computed from the rows.
         self.generation = 0
         self._machine = machine
         self._evacuated: frozenset[ZoneName] = frozenset()
@@ -114,7 +115,7 @@
         regions: dict[ZoneName, RegionName],
         now: float,
     ) -> None:
-        """Take over the servers and evacuations of the replica."""
+        """Apply the servers and evacuations of the replica."""
         evacuated = replica.evacuated()
         returned = self._evacuated - evacuated
         self._evacuated = evacuated
@@ -129,7 +130,7 @@
             row.is_evacuated = server.zone in evacuated
             spec = routes.services.get(server.service)
             if server.zone in returned and spec is not None:
-                # It may have become cold while it got nothing.
+                # Its cache may have gone cold while it got no requests.
                 row.cold_until = max(row.cold_until, now + spec.cold_s)
         for name in self.rows.keys() - seen:
             self.rows.pop(name).close_idle()
@@ -161,9 +162,9 @@
 
 
 def _is_same_process(old: Server, new: Server) -> bool:
-    """Tell whether a record is of the process that is known.
+    """Return whether two records describe the same server process.
 
-    A server may start again under its name.
+    A server may restart under the same name.
     """
     return (old.started_ms, old.address, old.service) == (
         new.started_ms,
--- a/chiverun/runtime/shifting.py
+++ b/chiverun/runtime/shifting.py
@@ -1,4 +1,4 @@
-"""Which requests this instance offers to the target of a shift."""
+"""Selects the requests that a traffic shift moves to its target region."""
 
 import threading
 from typing import TYPE_CHECKING
@@ -28,7 +28,7 @@
 
 
 class ShiftOffers:
-    """Progress of the active shifts on this instance; thread-safe."""
+    """Tracks the active shifts on this instance; thread-safe."""
 
     def __init__(self, *, instance: "InstanceId", clock: "Clock") -> None:
         self._instance = instance
@@ -39,7 +39,7 @@
     def targets(
         self, snapshot: "Snapshot", work: Work, now: float
     ) -> list[Target]:
-        """Return the instances to offer a request to, if it is moved."""
+        """Return candidate instances for a request, empty if it stays."""
         shift = active_shift(snapshot.state, work.service, work.source_region)
         if shift is None:
             return []
@@ -62,7 +62,7 @@
         work: Work,
         end: ExchangeEnd,
     ) -> None:
-        """Note how an offer ended; an instance at its cap rests."""
+        """Record the result of an offer; an instance at its cap is paused."""
         if end != PeerRefused(code=ResultCode.SHIFT_CAP):
             return
         shift = active_shift(snapshot.state, work.service, work.source_region)
--- a/chiverun/runtime/steering.py
+++ b/chiverun/runtime/steering.py
@@ -1,4 +1,4 @@
-"""Request path of an edge instance: from a client to a server and back."""
+"""Request path of an edge instance: routing, retries and hedging."""
 
 import asyncio
 import dataclasses
@@ -34,31 +34,32 @@
 
 _LOG = logbook.Logger("request")
 
-# Waited for a request whose client names no time, if its route allows more.
+# Deadline of a request whose client sets none; the route's timeout still
+# applies.
 DEADLINE_DEFAULT_S = 30.0
-# A response that is on its way at the route's timeout is still delivered.
+# Allows for a response that is in transit when the route's timeout expires.
 TIMEOUT_SLACK_S = 0.1
-# Told to clients whose request did not run, unless a longer wait for a slot
-# is expected.
+# Retry-After for requests that did not run, unless the expected wait for a
+# slot is longer.
 RETRY_AFTER_S = 0.3
 RETRY_AFTER_MAX_S = 3.0
-# A second server is asked when the first needs this many times the usual
-# time of its route, and at least this part of the route's objective.
+# A request is hedged once it has taken this many times the route's typical
+# latency and at least this fraction of the route's latency objective.
 HEDGE_USUAL_FACTOR = 3.0
 HEDGE_OBJECTIVE_PART = 0.9
-# An instance that stops takes requests that end in this many times the usual
-# time of their route; later on only those whose timeout it outlasts, since
-# clients have been told by then to go elsewhere.
+# A stopping instance accepts a request if this many times the route's typical
+# latency fits into the remaining time. After STOP_LATE_S the whole route
+# timeout must fit, since clients have been directed elsewhere by then.
 STOP_USUAL_FACTOR = 4.0
 STOP_LATE_S = 2.8
-# Sends of one request, those that did not run included.
+# Sends per request, including those that did not run.
 SENDS_MAX = 4
 USUAL_WEIGHT = 0.05
 
 
 @dataclasses.dataclass(kw_only=True)
 class Request:
-    """A client's request while it is served; times are the loop's."""
+    """State of a client's request in progress; times are event loop time."""
 
     incoming: IncomingRequest
     facts: RequestFacts
@@ -66,7 +67,7 @@
     service: ServiceName
     place: Placement
     until: float
-    # Sends that may have run.
+    # Number of sends that may have run on a server.
     runs: int = 0
     sends: int = 0
     tried: set[ServerName] = dataclasses.field(default_factory=set)
@@ -74,13 +75,13 @@
     pending: dict[asyncio.Task[SendResult], "Send"] = dataclasses.field(
         default_factory=dict
     )
-    # Shortest wait for a slot when no server would have answered in time.
+    # Shortest wait for a slot if no server could respond in time.
     overload_s: float | None = None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Stopping:
-    """How long ago an instance was asked to stop, and when it ends."""
+    """Time since the stop request and time left until the process exits."""
 
     since_s: float
     ends_in_s: float
@@ -88,7 +89,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Send:
-    """One send under way; `queue_factor` is the expected wait's effect."""
+    """Send in progress; `queue_factor` is the expected queueing slowdown."""
 
     row: ServerRow
     started_at: float
@@ -96,7 +97,7 @@
 
 
 class Steering:
-    """Serves clients' requests by the catalog in force."""
+    """Serves clients' requests according to the current catalog."""
 
     def __init__(
         self,
@@ -126,13 +127,15 @@
     async def handle(
         self, incoming: IncomingRequest, stopping: Stopping | None
     ) -> OutgoingResponse:
-        """Serve one request of a client.
+        """Serve a client's request.
 
-        One that may outlast an instance that is stopping is refused.
+        A stopping instance refuses a request that may outlast it.
         """
         facts = self._dialect.request_facts(incoming)
         if self.routes is None:
-            return self._refuse(facts, "no desired state is known yet")
+            return self._refuse(
+                facts, "no desired state has been received yet"
+            )
         path = incoming.target.partition("?")[0]
         host = (incoming.header("host") or "").partition(":")[0]
         route = self.routes.find(host, path)
@@ -204,7 +207,7 @@
                 self._send_again(request)
 
     def _wait_s(self, request: Request) -> float:
-        """Return how long to wait before a second server is asked."""
+        """Return the time until the next hedge or the deadline."""
         now = self._loop.time()
         left_s = max(0.0, request.until - now)
         hedge_at = request.incoming.arrived_at + max(
@@ -267,7 +270,7 @@
     def _take(
         self, request: Request, send: Send, result: SendResult
     ) -> OutgoingResponse | None:
-        """Return the response if a send's end settles the request."""
+        """Return the response if the result completes the request."""
         self._metrics.sends.add(1, {"end": type(result.end).__name__})
         if result.is_not_run:
             request.runs -= 1
@@ -316,7 +319,7 @@
         )
 
     def _give_up(self, request: Request, reason: str) -> OutgoingResponse:
-        """Answer a request that no server answered well."""
+        """Respond to a request that no server answered successfully."""
         if request.failure is not None and not request.pending:
             return self._forward(request, None, request.failure)
         if request.runs == 0 and not request.pending:
@@ -340,7 +343,7 @@
         reason: str,
         request: Request | None = None,
     ) -> OutgoingResponse:
-        """Answer that the request did not run and will not."""
+        """Respond that the request did not run and will not run."""
         timing = self._timing(request) if request is not None else {}
         wait_s = request.overload_s if request is not None else None
         retry_s = min(RETRY_AFTER_MAX_S, max(RETRY_AFTER_S, wait_s or 0.0))
@@ -401,7 +404,7 @@
 
 
 def may_outlast(stopping: Stopping, route: Route, usual_s: float) -> bool:
-    """Tell whether a request may run longer than an instance that stops."""
+    """Return whether a request may outlast a stopping instance."""
     needed_s = route.timeout_s + TIMEOUT_SLACK_S
     if stopping.since_s < STOP_LATE_S:
         needed_s = min(needed_s, STOP_USUAL_FACTOR * usual_s)
@@ -411,7 +414,7 @@
 def _smooth(
     times: dict[str, float], key: str, took_s: float, before_s: float
 ) -> None:
-    """Move a usual time towards a new one, which counts 4 times at most."""
+    """Update a moving average; a sample is capped at 4 times the average."""
     times[key] = before_s + USUAL_WEIGHT * (
         min(took_s, 4 * before_s) - before_s
     )
--- a/tests/runtime/test_follower.py
+++ b/tests/runtime/test_follower.py
@@ -1,4 +1,4 @@
-"""Tests of the catalog follower against a scripted store and peers."""
+"""Tests of the catalog follower with a scripted store and fake peers."""
 
 import unittest
 
@@ -54,7 +54,7 @@
 
 
 class _Store:
-    """Answers calls from a script; an exception in it is raised."""
+    """Answers calls from a script; raises scripted exceptions."""
 
     def __init__(self) -> None:
         self.script: list[Changes | Exception] = []
@@ -103,7 +103,7 @@
         )
 
     async def _step(self, answer: Changes | Exception) -> None:
-        """Let the follower make one read."""
+        """Run a single store read of the follower."""
         self.store.script = [answer]
         try:
             await self.follower._read()
@@ -136,13 +136,13 @@
             **more,
         )
 
-    async def test_removal_without_an_outage_counts_at_once(self) -> None:
+    async def test_removal_without_an_outage_is_immediate(self) -> None:
         await self._begin()
         gone = Changes(items=_items(("servers/a", 6, None)), as_of=6)
         await self._step(gone)
         self.assertEqual(self._servers(), [])
 
-    async def test_entry_that_lapsed_in_an_outage_is_kept(self) -> None:
+    async def test_entry_that_expired_in_an_outage_is_kept(self) -> None:
         await self._begin()
         await self._step(CatalogUnavailable("down"))
         self.follower._read_at -= 5.0
@@ -151,20 +151,20 @@
         await self._step(gone)
         self.assertEqual(self._servers(), ["a"])
 
-    async def test_own_trouble_is_no_outage_while_a_relay_is_heard(
+    async def test_read_failures_are_no_outage_while_the_relay_works(
         self,
     ) -> None:
-        # The machine was turned away for long, but its hub was not: what
-        # is removed meanwhile did not lapse.
+        # The store rejects this machine but not the machine that relays, so
+        # records removed meanwhile were deleted and did not expire.
         await self._begin()
-        await self._step(CatalogUnavailable("turned away"))
+        await self._step(CatalogUnavailable("rejected"))
         self.follower._read_at -= 9.0
         self._receive(self._update(5, 5, []))
         gone = Changes(items=_items(("servers/a", 6, None)), as_of=6)
         await self._step(gone)
         self.assertEqual(self._servers(), [])
 
-    async def test_forgotten_history_leads_to_a_listing(self) -> None:
+    async def test_missing_history_triggers_a_full_read(self) -> None:
         await self._begin()
         await self._step(HistoryGone())
         listing = [
@@ -175,13 +175,13 @@
         self.assertEqual(self.store.calls[-1], "read_all")
         self.assertEqual(self._servers(), [])
 
-    async def test_lost_store_is_logged_once(self) -> None:
+    async def test_store_loss_is_logged_once(self) -> None:
         for _ in range(3):
             await self._step(CatalogUnavailable("down"))
         lost = [r for r in self.logs.records if r.message == "store lost"]
         self.assertEqual(len(lost), 1)
 
-    async def test_missed_update_is_pulled(self) -> None:
+    async def test_missed_update_triggers_a_pull(self) -> None:
         await self._begin()
         beat = Beat(
             machine=_machine("m1"), life="l9", leaving=False, reads_store=True
@@ -195,9 +195,9 @@
         self._receive(self._update(5, 9, _items(("servers/a", 9, None))))
         self.assertEqual(self._servers(), [])
 
-    async def test_a_start_tells_the_region_nothing_it_has(self) -> None:
-        # On a site of 78 machines the listings of all starts together were
-        # most of the bytes between zones.
+    async def test_first_read_is_not_relayed(self) -> None:
+        # On a site of 78 machines the full listings relayed at startup made
+        # up most of the traffic between zones.
         await self._begin()
         updates = [m for _, m in self.peers.sent if isinstance(m, Update)]
         self.assertEqual(updates, [])
@@ -210,18 +210,18 @@
         updates = [m for _, m in self.peers.sent if isinstance(m, Update)]
         self.assertEqual([u.as_of for u in updates], [6])
 
-    async def test_pull_is_answered_with_changes_or_everything(self) -> None:
+    async def test_pull_is_answered_with_changes_or_a_snapshot(self) -> None:
         await self._begin()
         self.peers.sent.clear()
         self._receive(Pull(reply_to="10.0.0.9:1", as_of=3))
         self._receive(Pull(reply_to="10.0.0.9:1", as_of=0))
         self._receive(Pull(reply_to="10.0.0.9:1", as_of=5))
-        (_, changes), (_, everything) = self.peers.sent
+        (_, changes), (_, snapshot) = self.peers.sent
         self.assertIsInstance(changes, Update)
         self.assertEqual(len(changes.items), 2)
-        self.assertIsInstance(everything, Snapshot)
+        self.assertIsInstance(snapshot, Snapshot)
 
-    async def test_machine_without_store_starts_from_a_snapshot(self) -> None:
+    async def test_machine_without_store_starts_from_peers(self) -> None:
         await self._step(CatalogUnavailable("down"))
         self.assertFalse(self.follower.is_current)
         items = _items(
@@ -231,7 +231,7 @@
         self.assertTrue(self.follower.is_current)
         self.assertEqual(self._servers(), ["a"])
 
-    async def test_garbage_from_a_peer_changes_nothing(self) -> None:
+    async def test_invalid_peer_messages_are_ignored(self) -> None:
         await self._begin()
         for payload in (b"", b"\xc1", b"\x81\xa4type\xa1z", b"x" * 99):
             self.follower._receive(payload)
--- a/tests/runtime/test_healthcheck.py
+++ b/tests/runtime/test_healthcheck.py
@@ -1,4 +1,4 @@
-"""Each sign that a server leaves must be found in time (P6)."""
+"""Tests that each sign of a draining server is detected in time (P6)."""
 
 import threading
 import unittest
@@ -51,7 +51,7 @@
 
 
 class _Backends:
-    """All servers hang until released but the last, which drains."""
+    """All servers hang until released, except the draining one."""
 
     def __init__(self, draining: str) -> None:
         self.released = threading.Event()
@@ -90,8 +90,8 @@
 
 class HealthCheckTest(unittest.TestCase):
     @params(6, 33)
-    def test_hung_servers_hold_up_nothing(self, count):
-        """Checked in turn, 32 hung servers would delay a sign by 16 s."""
+    def test_hung_servers_do_not_delay_other_checks(self, count):
+        """Sequential checks of 32 hung servers would delay a sign by 16 s."""
         backends = _Backends(f"127.0.0.1:{count}")
         found = threading.Event()
         reports = []
@@ -110,7 +110,7 @@
             backends.released.set()
 
     def test_hung_server_is_checked_once_at_a_time(self):
-        """Each round would add threads that wait for the same server."""
+        """Guards against threads that pile up waiting for the same server."""
         backends = _Backends("none")
         health = _health(_Plane(3), backends)
         for _ in range(5):
@@ -123,8 +123,8 @@
         ({"s-1": True}, False, []),
         (None, True, []),
     )
-    def test_list_is_read_by_watchers(self, names, watches, expected):
-        """A list that fails, or names of other zones, change nothing."""
+    def test_only_watchers_read_the_list(self, names, watches, expected):
+        """A failed read and servers of other zones are ignored."""
         reports = []
         health = _health(
             _Plane(3, watches),
@@ -134,8 +134,8 @@
         health.read_list()
         self.assertEqual(expected, reports)
 
-    def test_list_that_fails_takes_nothing_back(self):
-        """A sign lapses; the server would get work while the list is down."""
+    def test_failed_read_keeps_the_last_list(self):
+        """Signs expire, so a draining server would get requests otherwise."""
         reports = []
         listed = _List({"s-1": True})
         health = _health(
@@ -155,6 +155,6 @@
         (Answered(status=200, headers=(), body=b""), False),
         (NotSent(detail=""), False),
     )
-    def test_signs_of_a_response(self, end, expected):
-        """An overloaded or unreachable server is not a draining one."""
+    def test_draining_responses(self, end, expected):
+        """An overloaded or unreachable server is not draining."""
         self.assertEqual(expected, is_draining(end))
--- a/tests/runtime/test_hedging.py
+++ b/tests/runtime/test_hedging.py
@@ -1,4 +1,4 @@
-"""Tests of second attempts over real HTTP to stand-in backend servers."""
+"""Tests of hedged requests over real HTTP to stand-in backend servers."""
 
 import threading
 import time
@@ -35,7 +35,7 @@
 
 
 class _Zone(Zoned):
-    """One instance with two real servers, the first of them slow."""
+    """One instance with two HTTP servers, the first of them slow."""
 
     def __init__(self, slow_s: float = 0.6) -> None:
         self.backends = {}
@@ -71,7 +71,7 @@
                 instance="dar-a-1", zone="dar-a", trace_ratio=0.0
             ),
         )
-        # Learnt: the class usually takes 10 ms.
+        # Record a typical latency of 10 ms for each class.
         for key in (READ, BOOK):
             grant = self.admission.try_acquire(self.work(key))
             self.admission.release(grant, OK)
@@ -80,7 +80,7 @@
                 times.record(0.01, self.clock.monotonic())
 
     def run(self, request_class=READ, attempts_left=2, left_s=2.0):
-        """Run one request that is first sent to the slow server."""
+        """Run a request that is first sent to the slow server."""
         content = Content(
             method=request_class.methods[0],
             path="/read?token=t",
@@ -97,7 +97,7 @@
         )
 
     def events(self, name: str) -> list[str]:
-        """Return what happened at a server."""
+        """Return the names of the events at a server."""
         return [e["event"] for e in self.backends[name][0].events]
 
     def close(self) -> None:
@@ -107,7 +107,7 @@
 
 
 class _FirstDrawn:
-    """Draws the first server and then the second."""
+    """Random source that selects the first server, then the second."""
 
     def __init__(self) -> None:
         self._draws = [0.0, 0.99]
@@ -139,12 +139,12 @@
         self.assertTrue(
             _until(lambda: self.zone.events("s1") == ["start", "cancel"])
         )
-        # The server closed the connection, so its slot is free at once.
+        # The server closed the connection, which frees its slot immediately.
         self.assertTrue(_until(lambda: self.zone.admission.in_flight() == 0))
         self.assertFalse(self.zone.admission.seat_in_use(0))
         self.assertEqual(2, self.zone.admission.room()["desk"])
 
-    def test_a_server_that_ignores_the_cancellation_keeps_its_slot(self):
+    def test_slot_stays_in_use_if_the_server_ignores_the_cancellation(self):
         """Guards against a slot that is reused while the request runs."""
         backend, _ = self.zone.backends["s1"]
         held = threading.Event()
@@ -156,8 +156,8 @@
         self.assertTrue(_until(lambda: self.zone.admission.in_flight() == 0))
         self.assertEqual(2, self.zone.admission.room()["desk"])
 
-    def test_a_reset_after_the_cancellation_proves_no_end(self):
-        """Guards against a slot that is reused without proof of its end."""
+    def test_slot_stays_in_use_after_a_reset(self):
+        """Guards against a slot that is reused while the request may run."""
         backend, _ = self.zone.backends["s1"]
         backend.duration_s = lambda is_long: time.sleep(0.2) or 0.0
         backend.faults["reset_after"] = 1
@@ -171,15 +171,17 @@
         (READ, 2, 0.02, 1),
         (READ, 2, 2.0, 0),
     )
-    def test_no_hedge(self, request_class, attempts_left, left_s, start):
-        """Never for non-repeatable ones, over attempts or the budget."""
+    def test_request_is_not_hedged(
+        self, request_class, attempts_left, left_s, start
+    ):
+        """Not if non-repeatable, or out of attempts, time or budget."""
         self.zone.budget = RetryBudget(start=float(start))
         attempt = self.zone.run(request_class, attempts_left, left_s)
         self.assertIsNone(attempt.hedge_server)
         self.assertEqual([], self.zone.events("s2"))
         self.assertEqual(bool(start), self.zone.budget.withdraw())
 
-    def test_no_free_slot_gives_the_budget_back(self):
+    def test_budget_is_refunded_without_a_free_slot(self):
         other = self.zone.admission.try_acquire(
             self.zone.work(), frozenset({"s1"})
         )
@@ -198,8 +200,8 @@
         ((BAD, SHED), BAD),
         ((SHED, NotSent(detail="x")), SHED),
     )
-    def test_the_best_end_counts(self, ends, expected):
-        """Guards against NOT_RUN for a request of which one attempt ran."""
+    def test_result_of_two_attempts(self, ends, expected):
+        """Guards against NOT_RUN for a request of which an attempt ran."""
         gate = threading.Event()
         threads = HedgeThreads(threads=2)
         race = threads.start(lambda _: ends[0])
@@ -208,7 +210,7 @@
         gate.set()
         self.assertEqual(expected, race.result())
 
-    def test_threads_are_bounded(self):
+    def test_number_of_threads_is_bounded(self):
         gate = threading.Event()
         threads = HedgeThreads(threads=1)
         race = threads.start(lambda _: gate.wait(5) and OK)
@@ -217,7 +219,7 @@
         gate.set()
         self.assertEqual(OK, race.result())
 
-    def test_an_error_of_our_own_is_an_unknown_end(self):
+    def test_internal_error_is_an_unknown_outcome(self):
         def fail(_):
             raise KeyError("test")
 
--- a/tests/runtime/test_selection.py
+++ b/tests/runtime/test_selection.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a server."""
+"""Tests of server selection."""
 
 import unittest
 
@@ -21,7 +21,7 @@
 
 
 def _table(**slots_by_zone: int) -> ServerTable:
-    """Return a table with three servers a zone."""
+    """Return a table with three servers per zone."""
     table = ServerTable(machine="m")
     for zone, slots in slots_by_zone.items():
         for number in range(3):
@@ -52,7 +52,7 @@
     near: tuple[str, ...],
     bounds: EdgeBounds | None = None,
 ) -> Selector:
-    """Return the selector of a machine in a zone; `near` are the others'."""
+    """Return a selector in `zone`; `near` are the zones of other machines."""
     return Selector(
         table=table,
         region=_REGIONS[zone],
@@ -82,7 +82,7 @@
 
 class ZoneFirstTest(unittest.TestCase):
     def test_requests_stay_in_the_zone(self) -> None:
-        """Guards against bytes between zones that no server needs."""
+        """Guards against unnecessary traffic between zones."""
         table = _table(a1=4, a2=4, b1=8)
         selector = _selector(table, "a1", ("a2",))
         for i in range(100):
@@ -90,7 +90,7 @@
             self.assertEqual("a1", row.server.zone)
 
     def test_two_zones_share_the_two_servers_of_a_key(self) -> None:
-        """Guards against objects that are cold on twice as many servers."""
+        """Guards against keys that are cold on twice as many servers."""
         table = _table(a1=4, a2=4, b1=8)
         one = _selector(table, "a1", ("a2",))
         two = _selector(table, "a2", ("a1",))
@@ -106,7 +106,7 @@
     def test_zone_with_more_machines_does_not_overload_its_servers(
         self,
     ) -> None:
-        """Guards against load that follows machines and not servers."""
+        """Guards against zone shares that ignore the servers' capacity."""
         table = _table(a1=4, a2=4, b1=8)
         many = _selector(table, "a1", ("a1", "a2"))
         own = sum(
@@ -117,7 +117,7 @@
         self.assertAlmostEqual(0.75, own / 1000, delta=0.05)
 
     def test_zone_without_servers_uses_the_other(self) -> None:
-        """Guards against refusals after a zone was emptied."""
+        """Guards against refusals after all servers of a zone are gone."""
         table = _table(a2=4, b1=4)
         selector = _selector(table, "a1", ("a2",))
         zones = {
@@ -140,46 +140,44 @@
     def _choose(self, spec: ServiceSpec | None = None):
         return self.selector.choose(_place("k"), spec, set(), _NOW)
 
-    def test_late_queue_is_refused(self) -> None:
-        """Guards against servers that only answer too late.
+    def test_request_that_would_be_late_is_refused(self) -> None:
+        """Guards against queueing behind servers that respond too late.
 
-        A request of 0.1 s behind 5 rounds of others misses 0.3 s.
+        A request of 0.1 s behind 5 rounds of others misses its 0.3 s.
         """
         self._load(24)
         choice = self._choose()
         self.assertIsInstance(choice, Overloaded)
         self.assertAlmostEqual(0.1 * 21 / 4, choice.wait_s)
 
-    def test_servers_that_all_stall_are_not_loaded_without_bound(
+    def test_load_is_bounded_when_all_servers_stall(
         self,
     ) -> None:
-        """Guards against an overload that is taken for silent servers.
+        """Guards against overload that is mistaken for unresponsive servers.
 
-        When every run is slow, all servers wait for a response longer than
-        usual.
+        If every run is slow, sends to all servers exceed the stall limit.
         """
         self._load(24)
         for row in self.table.rows.values():
             row.waiting[1] = _NOW - 10.0
         self.assertIsInstance(self._choose(), Overloaded)
 
-    def test_stalled_servers_with_room_are_used(self) -> None:
-        """Guards against refusals where only stalled servers are left."""
+    def test_stalled_servers_with_free_slots_are_used(self) -> None:
+        """Guards against refusals when only stalled servers are left."""
         self._load(1)
         for row in self.table.rows.values():
             row.waiting[1] = _NOW - 10.0
         self.assertIsInstance(self._choose(), ServerRow)
 
-    def test_queue_in_time_is_not_refused(self) -> None:
+    def test_queue_within_the_objective_is_not_refused(self) -> None:
         """Guards against refusals while the objective can be met."""
         self._load(7)
         self.assertIsInstance(self._choose(), ServerRow)
 
-    def test_key_stays_while_its_servers_are_in_time(self) -> None:
-        """Guards against objects that are cold on every server of a region.
+    def test_key_stays_on_its_servers_within_the_objective(self) -> None:
+        """Guards against keys that are cold on every server of a region.
 
-        In a burst each spilled request ran cold, so that the work rose with
-        the load.
+        In a burst each request that spilled over ran cold and added load.
         """
         self._load(8)
         third = self.table.rows["a2-1"]
@@ -192,21 +190,21 @@
         choice = self.selector.choose(_place(key), None, set(), _NOW)
         return choice if isinstance(choice, ServerRow) else None
 
-    def test_spare_server_is_used_before_a_refusal(self) -> None:
-        """Guards against refusals with free servers in the region."""
+    def test_idle_server_is_used_before_a_refusal(self) -> None:
+        """Guards against refusals while the region has free servers."""
         self._load(24)
         spare = self.table.rows["a2-1"]
         spare.load.in_flight = 1
         self.assertIs(spare, self._choose())
 
-    def test_overload_moves_nothing_to_another_region(self) -> None:
-        """Guards against a jump of the requests that change the region."""
+    def test_overload_does_not_spill_to_another_region(self) -> None:
+        """Guards against a surge of requests that change region."""
         self._load(24)
         self._load(0, region="b")
         self.assertIsInstance(self._choose(), Overloaded)
 
-    def test_cold_servers_are_no_overload(self) -> None:
-        """Guards against refusals where another region has room."""
+    def test_cold_limit_is_not_overload(self) -> None:
+        """Guards against refusals while another region has capacity."""
         spec = ServiceSpec(
             name="mill",
             health_path="/h",
--- a/tests/runtime/test_steering.py
+++ b/tests/runtime/test_steering.py
@@ -1,4 +1,4 @@
-"""Tests of decisions on the request path of an edge instance."""
+"""Tests of request handling in a stopping edge instance."""
 
 import unittest
 
@@ -26,21 +26,21 @@
 
 class StopTest(unittest.TestCase):
     @params(
-        # (seconds since the stop was asked, until the end, may outlast)
+        # (seconds since the stop request, seconds until exit, may outlast)
         (0.0, 5.1, False),
         (2.7, 1.0, False),
         (2.7, 0.7, True),
-        # Runs of 4 times the usual time and more occur: 0.85 s at 0.2 s.
+        # Some runs take over 4 times the typical time: 0.85 s at 0.2 s.
         (4.1, 1.0, True),
         (3.0, 1.4, False),
         (4.1, 0.9, True),
     )
-    def test_late_requests_must_end_in_time(
+    def test_stopping_instance_refuses_requests_that_may_outlast_it(
         self, since_s, ends_in_s, expected
     ) -> None:
-        """Guards against requests taken 4 s after SIGTERM and cut at the end.
+        """Guards against requests accepted 4 s after SIGTERM and cut at exit.
 
-        Found by a hunt: inzira-race, trouble-2 with seed 44687999556.
+        Found by inzira-race, trouble-2 with seed 44687999556.
         """
         stopping = Stopping(since_s=since_s, ends_in_s=ends_in_s)
         self.assertEqual(expected, may_outlast(stopping, _ROUTE, 0.2))
