--- a/chiverun/core/idempotency.py
+++ b/chiverun/core/idempotency.py
@@ -14,9 +14,9 @@
 
 from chiverun.core.errors import Outcome
 from chiverun.core.errors import ResultCode
+from chiverun.core.ids import BootId
 from chiverun.core.ids import IdempotencyKey
 from chiverun.core.ids import InstanceId
-from chiverun.core.ids import LifeId
 
 if TYPE_CHECKING:
     from chiverun.core.clock import Clock
@@ -59,14 +59,14 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Refuse:
+class Reject:
     """The key cannot be used; `outcome` says what is known of its request."""
 
     outcome: Outcome
     code: ResultCode
 
 
-Begin = Run | Replay | Refuse
+Begin = Run | Replay | Reject
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -74,7 +74,7 @@
     """The issuer named by a key."""
 
     instance: InstanceId
-    life: LifeId
+    boot_id: BootId
 
 
 def parse_key(key: str) -> KeyParts | None:
@@ -82,7 +82,7 @@
     parts = key.split(_SEPARATOR)
     if len(parts) != 3 or not all(parts):
         return None
-    return KeyParts(instance=InstanceId(parts[0]), life=LifeId(parts[1]))
+    return KeyParts(instance=InstanceId(parts[0]), boot_id=BootId(parts[1]))
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -105,10 +105,10 @@
     """
 
     def __init__(
-        self, *, instance: InstanceId, life: LifeId, clock: "Clock"
+        self, *, instance: InstanceId, boot_id: BootId, clock: "Clock"
     ) -> None:
         self._instance = instance
-        self._life = life
+        self._boot_id = boot_id
         self._clock = clock
         self._changed = threading.Condition()
         self._rows: collections.OrderedDict[IdempotencyKey, _Row] = (
@@ -143,23 +143,23 @@
             self._expire(self._clock.monotonic())
             row = self._rows.get(key)
             if row is None:
-                return _unlisted(key, self._life)
+                return _unlisted(key, self._boot_id)
             if row.fingerprint not in ("", fingerprint):
                 # This request itself did not run; the key's own one may have.
-                return Refuse(
+                return Reject(
                     outcome=Outcome.NOT_RUN, code=ResultCode.KEY_REUSED
                 )
             row.fingerprint = fingerprint
             while row.state is _KeyState.RUNNING:
                 left = wait_until - self._clock.monotonic()
                 if left <= 0 or not self._changed.wait(left):
-                    return Refuse(
+                    return Reject(
                         outcome=Outcome.UNKNOWN,
                         code=ResultCode.KEY_IN_PROGRESS,
                     )
             if row.state is _KeyState.FINISHED:
                 if row.result is None:
-                    return Refuse(
+                    return Reject(
                         outcome=Outcome.UNKNOWN,
                         code=ResultCode.KEY_ANSWER_GONE,
                     )
@@ -203,7 +203,7 @@
             self._rows[oldest].result = None
 
     def _new_key(self) -> IdempotencyKey:
-        parts = (self._instance, self._life, secrets.token_hex(8))
+        parts = (self._instance, self._boot_id, secrets.token_hex(8))
         return IdempotencyKey(_SEPARATOR.join(parts))
 
     def _expire(self, now: float) -> None:
@@ -226,11 +226,11 @@
     return len(result.body) + headers
 
 
-def _unlisted(key: IdempotencyKey, life: LifeId) -> Refuse:
+def _unlisted(key: IdempotencyKey, boot_id: BootId) -> Reject:
     """An unlisted key may have run before it expired or its process ended."""
     parts = parse_key(key)
     if parts is None:
-        return Refuse(outcome=Outcome.NOT_RUN, code=ResultCode.KEY_UNKNOWN)
-    if parts.life != life:
-        return Refuse(outcome=Outcome.UNKNOWN, code=ResultCode.KEY_OTHER_LIFE)
-    return Refuse(outcome=Outcome.UNKNOWN, code=ResultCode.KEY_UNKNOWN)
+        return Reject(outcome=Outcome.NOT_RUN, code=ResultCode.KEY_UNKNOWN)
+    if parts.boot_id != boot_id:
+        return Reject(outcome=Outcome.UNKNOWN, code=ResultCode.KEY_OTHER_LIFE)
+    return Reject(outcome=Outcome.UNKNOWN, code=ResultCode.KEY_UNKNOWN)
--- a/chiverun/runtime/events.py
+++ b/chiverun/runtime/events.py
@@ -34,7 +34,7 @@
     """Write owners and release seats (by epoch) in the seat record."""
 
     owners: dict[SeatIndex, Owner]
-    given_up: dict[SeatIndex, int]
+    released: dict[SeatIndex, int]
 
 
 StoreJob = ClaimSeats | ReadSeats | WriteSeats
@@ -96,12 +96,12 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Leave:
+class BeginStop:
     """The instance is stopping and is removed from look-up answers."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class HandOver:
+class TransferSeats:
     """The instance has finished its work and transfers its seats."""
 
 
@@ -113,4 +113,4 @@
     | StateRead
     | HeadForked
 )
-Event = StoreReport | ServersLeaving | Leave | HandOver
+Event = StoreReport | ServersLeaving | BeginStop | TransferSeats
--- a/chiverun/runtime/dialect.py
+++ b/chiverun/runtime/headercodec.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class RequestFacts:
+class RequestMetadata:
     """Request metadata from headers; `deadline_s` is the time left."""
 
     request_id: str
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class ResponseFacts:
+class ResponseMetadata:
     """Response metadata from headers.
 
     `not_run` proves that the request did not run; `is_other_server` means
@@ -50,15 +50,17 @@
     cold_s: float | None
 
 
-class Dialect(Protocol):
+class HeaderCodec(Protocol):
     """Reads and writes the headers of a platform."""
 
-    def request_facts(self, request: "IncomingRequest") -> RequestFacts: ...
+    def request_metadata(
+        self, request: "IncomingRequest"
+    ) -> RequestMetadata: ...
 
     def request_headers(
-        self, headers: "Headers", server: "Server", left_s: float
+        self, headers: "Headers", server: "Server", remaining_s: float
     ) -> "Headers": ...
 
-    def response_facts(
+    def response_metadata(
         self, status: int, headers: "Headers"
-    ) -> ResponseFacts: ...
+    ) -> ResponseMetadata: ...
--- a/chiverun/runtime/request.py
+++ b/chiverun/runtime/request.py
@@ -14,7 +14,7 @@
 from chiverun.core.ticket import Service
 from chiverun.core.ticket import Zone
 from chiverun.core.work import Work
-from chiverun.integrations.web import Incoming
+from chiverun.integrations.web import IncomingRequest
 from chiverun.runtime.execution import Content
 from chiverun.runtime.forward import ORIGIN_HEADER
 
@@ -28,14 +28,14 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class EntryRequest:
+class ParsedRequest:
     """A parsed request with its service, class, deadline and regions."""
 
     work: Work
     content: Content
 
 
-class RequestReader:
+class RequestParser:
     """Determines service, class, deadline and regions of a request."""
 
     def __init__(
@@ -51,7 +51,7 @@
         self._plane = plane
         self._blocks = blocks
 
-    def read(self, req: Incoming) -> EntryRequest:
+    def read(self, req: IncomingRequest) -> ParsedRequest:
         """Parse a request.
 
         Raises
@@ -77,7 +77,7 @@
         path = "/" + rest
         request_class = match_class(service, req.method, path)
         region = self._home_region(state)
-        return EntryRequest(
+        return ParsedRequest(
             work=Work(
                 service=service.name,
                 request_class=request_class,
@@ -103,7 +103,7 @@
             )
         return zone.region
 
-    def _origin(self, req: Incoming, state) -> RegionName | None:
+    def _origin(self, req: IncomingRequest, state) -> RegionName | None:
         """Return the caller's region, from a header if a peer forwards it."""
         table = self._blocks.get(state)
         origin = origin_region(state, table, req.remote)
@@ -112,7 +112,9 @@
             return stated
         return origin
 
-    def _deadline(self, req: Incoming, request_class: RequestClass) -> float:
+    def _deadline(
+        self, req: IncomingRequest, request_class: RequestClass
+    ) -> float:
         most_ms = request_class.deadline_ms
         text = req.header("x-deadline-ms", str(most_ms))
         is_number = text.isascii() and text.isdigit() and len(text) <= 15
--- a/chiverun/runtime/results.py
+++ b/chiverun/runtime/results.py
@@ -9,12 +9,12 @@
 from chiverun.core.exchange import ExchangeEnd
 from chiverun.core.idempotency import StoredResult
 from chiverun.core.ids import IdempotencyKey
-from chiverun.integrations.web import error_reply
-from chiverun.integrations.web import Incoming
-from chiverun.integrations.web import Reply
+from chiverun.integrations.web import error_response
+from chiverun.integrations.web import IncomingRequest
+from chiverun.integrations.web import Response
 
 
-def fingerprint(req: Incoming) -> str:
+def fingerprint(req: IncomingRequest) -> str:
     """Return a hash that binds an idempotency key to its request."""
     hashed = xxhash.xxh3_128()
     for part in (req.method, req.path, req.query):
@@ -38,7 +38,9 @@
         )
     outcome = Outcome.UNKNOWN if may_have_run else classified.outcome
     status = 503 if outcome is Outcome.NOT_RUN else 502
-    reply = error_reply(status, outcome, classified.code, type(end).__name__)
+    reply = error_response(
+        status, outcome, classified.code, type(end).__name__
+    )
     return StoredResult(
         outcome=outcome,
         code=classified.code,
@@ -48,9 +50,9 @@
     )
 
 
-def to_reply(result: StoredResult) -> Reply:
+def to_response(result: StoredResult) -> Response:
     """Return the response with the outcome and code headers."""
-    return Reply(
+    return Response(
         status=result.status,
         headers=(
             *result.headers,
@@ -61,9 +63,9 @@
     )
 
 
-def unknown_key(key: IdempotencyKey, reason: str) -> Reply:
+def unknown_outcome_response(key: IdempotencyKey, reason: str) -> Response:
     """Return the response for a key with an unknown outcome."""
-    return error_reply(
+    return error_response(
         409,
         Outcome.UNKNOWN,
         ResultCode.KEY_OUTCOME_UNKNOWN,
--- a/chiverun/runtime/shifting.py
+++ b/chiverun/runtime/shifting.py
@@ -6,18 +6,18 @@
 from chiverun.core.errors import ResultCode
 from chiverun.core.exchange import ExchangeEnd
 from chiverun.core.exchange import PeerRefused
-from chiverun.core.routing import region_room
+from chiverun.core.routing import region_free_slots
 from chiverun.core.routing import shift_targets
 from chiverun.core.routing import Target
 from chiverun.core.shift import active_shift
-from chiverun.core.shift import followed_by
 from chiverun.core.shift import grow
 from chiverun.core.shift import is_same_move
 from chiverun.core.shift import Measurement
-from chiverun.core.shift import note_refused
+from chiverun.core.shift import record_refusal
 from chiverun.core.shift import select_targets
 from chiverun.core.shift import ShiftProgress
 from chiverun.core.shift import take
+from chiverun.core.shift import with_shift
 from chiverun.core.ticket import Shift
 from chiverun.core.work import Work
 
@@ -45,10 +45,12 @@
             return []
         with self._lock:
             progress = self._progress_of(shift)
-            room, measured_at = region_room(
+            free_slots, measured_at = region_free_slots(
                 snapshot, shift.target, shift.service
             )
-            measurement = Measurement(room=room, age_s=now - measured_at)
+            measurement = Measurement(
+                free_slots=free_slots, age_s=now - measured_at
+            )
             grow(progress, measurement, now)
             if not take(progress):
                 return []
@@ -69,7 +71,7 @@
         if shift is None:
             return
         with self._lock:
-            note_refused(
+            record_refusal(
                 self._progress_of(shift), target, self._clock.monotonic()
             )
 
@@ -78,6 +80,6 @@
         if progress is None or not is_same_move(progress.shift, shift):
             progress = ShiftProgress(shift=shift)
         elif progress.shift != shift:
-            progress = followed_by(progress, shift)
+            progress = with_shift(progress, shift)
         self._progress[shift.name] = progress
         return progress
--- a/chiverun/runtime/status.py
+++ b/chiverun/runtime/status.py
@@ -40,13 +40,13 @@
 class Status(msgspec.Struct, frozen=True, kw_only=True):
     """Status of one instance.
 
-    `room` is the number of free slots by service, `links` the free part of
+    `free_slots` is by service, `links` the free part of
     each link's portion, `in_force_s` the time since the ticket came in force
     here.
     """
 
     instance: str
-    life: str
+    boot_id: str = msgspec.field(name="life")
     zone: str
     number: int
     digest: str
@@ -58,7 +58,7 @@
     store_fault: str | None = None
     seats: list[int]
     seats_open: int
-    room: dict[str, int]
+    free_slots: dict[str, int] = msgspec.field(name="room")
     in_flight: int
     links: dict[str, float]
     draining: list[str]
@@ -72,7 +72,7 @@
     held = dict(plane.seats.held)
     return Status(
         instance=plane.identity.instance,
-        life=plane.identity.life,
+        boot_id=plane.identity.boot_id,
         zone=plane.identity.zone,
         number=plane.state.number,
         digest=plane.state.digest,
@@ -83,8 +83,8 @@
         fork=plane.fork,
         store_fault=sources.watch.fault,
         seats=sorted(held),
-        seats_open=sum(1 for h in held.values() if h.short_from <= now),
-        room=dict(sources.admission.room()),
+        seats_open=sum(1 for h in held.values() if h.short_opens_at <= now),
+        free_slots=dict(sources.admission.free_slots()),
         in_flight=sources.admission.in_flight(),
         links={t: round(f, 3) for t, f in sources.links.headroom().items()},
         draining=sorted(plane.snapshot.leaving_servers),
--- a/chiverun/runtime/steering.py
+++ b/chiverun/runtime/steering.py
@@ -18,9 +18,9 @@
 from chiverun.core.splits import SplitTable
 from chiverun.integrations.asyncserver import IncomingRequest
 from chiverun.integrations.asyncserver import OutgoingResponse
-from chiverun.runtime.dialect import Dialect
-from chiverun.runtime.dialect import RequestFacts
 from chiverun.runtime.edgemetrics import EdgeMetrics
+from chiverun.runtime.headercodec import HeaderCodec
+from chiverun.runtime.headercodec import RequestMetadata
 from chiverun.runtime.selection import Overloaded
 from chiverun.runtime.selection import Placement
 from chiverun.runtime.selection import placement
@@ -62,7 +62,7 @@
     """State of a client's request in progress; times are event loop time."""
 
     incoming: IncomingRequest
-    facts: RequestFacts
+    facts: RequestMetadata
     route: Route
     service: ServiceName
     place: Placement
@@ -102,7 +102,7 @@
     def __init__(
         self,
         *,
-        dialect: Dialect,
+        header_codec: HeaderCodec,
         selector: Selector,
         sender: Sender,
         bounds: EdgeBounds,
@@ -111,7 +111,7 @@
         metrics: EdgeMetrics,
     ) -> None:
         self.routes: RouteTable | None = None
-        self._dialect = dialect
+        self._header_codec = header_codec
         self._selector = selector
         self._sender = sender
         self._bounds = bounds
@@ -131,7 +131,7 @@
 
         A stopping instance refuses a request that may outlast it.
         """
-        facts = self._dialect.request_facts(incoming)
+        facts = self._header_codec.request_metadata(incoming)
         if self.routes is None:
             return self._refuse(
                 facts, "no desired state has been received yet"
@@ -155,7 +155,7 @@
                 task.cancel()
 
     def _request(
-        self, incoming: IncomingRequest, facts: RequestFacts, route: Route
+        self, incoming: IncomingRequest, facts: RequestMetadata, route: Route
     ) -> Request:
         service = self._splits.choose(
             f"{route.host}{route.prefix}", route.parts
@@ -209,7 +209,7 @@
     def _wait_s(self, request: Request) -> float:
         """Return the time until the next hedge or the deadline."""
         now = self._loop.time()
-        left_s = max(0.0, request.until - now)
+        remaining_s = max(0.0, request.until - now)
         hedge_at = request.incoming.arrived_at + max(
             HEDGE_USUAL_FACTOR * self._usual_s(request.route),
             HEDGE_OBJECTIVE_PART * request.route.objective_s,
@@ -220,7 +220,7 @@
             and request.runs < request.route.attempts
             and now < hedge_at
         )
-        return min(left_s, hedge_at - now) if may_hedge else left_s
+        return min(remaining_s, hedge_at - now) if may_hedge else remaining_s
 
     def _send_again(self, request: Request) -> bool:
         may_have_run = request.runs > 0
@@ -243,7 +243,7 @@
                 request.overload_s = wait_s
                 self._metrics.overload_refused.add(1)
                 return False
-        if request.sends and not self._budget(request.service).try_take(
+        if request.sends and not self._budget(request.service).try_consume(
             now, len(self._machines())
         ):
             self._metrics.budget_refused.add(1)
@@ -339,7 +339,7 @@
 
     def _refuse(
         self,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         reason: str,
         request: Request | None = None,
     ) -> OutgoingResponse:
@@ -395,7 +395,7 @@
         }
 
     def _log(
-        self, facts: RequestFacts, status: int, reason: str, **extra
+        self, facts: RequestMetadata, status: int, reason: str, **extra
     ) -> None:
         _LOG.info(
             reason,
--- a/tests/core/test_shift.py
+++ b/tests/core/test_shift.py
@@ -10,16 +10,16 @@
 from chiverun.core.portions import held_portion
 from chiverun.core.routing import shift_targets
 from chiverun.core.shift import cap_name
-from chiverun.core.shift import followed_by
 from chiverun.core.shift import grow
 from chiverun.core.shift import Measurement
-from chiverun.core.shift import note_refused
+from chiverun.core.shift import record_refusal
 from chiverun.core.shift import select_targets
 from chiverun.core.shift import ShiftProgress
 from chiverun.core.shift import take
+from chiverun.core.shift import with_shift
 from tests.core import cap_states
 
-_FRESH = Measurement(room=3, age_s=0.5)
+_FRESH = Measurement(free_slots=3, age_s=0.5)
 _ZONES = ("a1", "b1", "b2")
 
 
@@ -49,8 +49,8 @@
     @params(
         (_FRESH, 2.0, 0.2),
         (None, 2.0, 0.1),
-        (Measurement(room=3, age_s=3.1), 2.0, 0.1),
-        (Measurement(room=0, age_s=0.1), 2.0, 0.1),
+        (Measurement(free_slots=3, age_s=3.1), 2.0, 0.1),
+        (Measurement(free_slots=0, age_s=0.1), 2.0, 0.1),
         (_FRESH, 0.9, 0.1),
     )
     def test_grows_on_fresh_room_after_the_warm_time(
@@ -81,7 +81,7 @@
     def test_changed_shift_keeps_its_fraction(self, goal, expected):
         """A change of cap must not move traffic back at once."""
         progress = ShiftProgress(shift=cap_states.shift(), fraction=0.4)
-        changed = followed_by(progress, cap_states.shift(fraction=goal))
+        changed = with_shift(progress, cap_states.shift(fraction=goal))
         self.assertEqual(expected, changed.fraction)
 
     @settings(max_examples=100, derandomize=True, deadline=None)
@@ -129,7 +129,7 @@
         progress = ShiftProgress(shift=shift)
         targets = _targets(shift)
         for target in targets:
-            note_refused(progress, target, 10.0)
+            record_refusal(progress, target, 10.0)
         self.assertEqual([], select_targets(progress, targets, 10.1))
         later = select_targets(progress, targets, 10.0 + 1.25)
         self.assertEqual(2, len(later))
--- a/tests/runtime/test_seatsystem.py
+++ b/tests/runtime/test_seatsystem.py
@@ -9,7 +9,7 @@
 from chiverun.core.messages import Ack
 from chiverun.core.messages import MemberState
 from chiverun.core.messages import MemberUpdate
-from chiverun.core.messages import SeatMarks
+from chiverun.core.messages import SeatHolderRecords
 from chiverun.core.messages import SeatRequest
 from chiverun.core.messages import SeatTransfer
 from chiverun.core.messages import Tickets
@@ -19,8 +19,8 @@
 from chiverun.core.ticket import Zone
 from chiverun.core.ticketentry import Entry
 from chiverun.runtime import gossip
-from chiverun.runtime.control import HandOver
-from chiverun.runtime.control import Leave
+from chiverun.runtime.control import BeginStop
+from chiverun.runtime.control import TransferSeats
 from chiverun.runtime.events import EntriesRead
 from chiverun.runtime.events import StateRead
 from standins.planes import Lifetime
@@ -72,11 +72,11 @@
         """A paused holder handed on a seat that another had claimed."""
         planes, (one, two) = self._planes(2, **_QUIET)
         request = SeatRequest(
-            instance=two.name, life=two.life, peer=two.peer, held=0
+            instance=two.name, boot_id=two.boot_id, peer=two.peer, held=0
         )
         self._pass_time(planes, 10.0)
         planes.store.is_down = True
-        one.plane.handle(HandOver())
+        one.plane.handle(TransferSeats())
         one.plane.receive(request)
         one.plane.tick()
         one.plane.tick()
@@ -108,11 +108,11 @@
         self.assertTrue(
             planes.run_until(lambda: len(one.held) == 6, limit_s=30)
         )
-        opens = {s: h.long_from for s, h in one.plane.seats.held.items()}
+        opens = {s: h.long_opens_at for s, h in one.plane.seats.held.items()}
         three = planes.start(9)
         planes.run_until(lambda: len(three.held) == 3, limit_s=30)
         for got, held in three.plane.seats.held.items():
-            self.assertGreaterEqual(held.long_from, opens[got])
+            self.assertGreaterEqual(held.long_opens_at, opens[got])
 
     def test_transfer_before_the_state_is_known(self) -> None:
         """A seat sent to an instance without a state was lost."""
@@ -124,8 +124,8 @@
                 seat=0,
                 epoch=50,
                 instance=fresh.name,
-                life=fresh.life,
-                giver=fresh.peer,
+                boot_id=fresh.boot_id,
+                previous_holder=fresh.peer,
                 short_ms=0,
                 long_ms=0,
                 sent_epoch_ms=int(planes.clock.wall() * 1000),
@@ -145,8 +145,8 @@
             seat=seat,
             epoch=two.plane.seats.held[seat].epoch + 1,
             instance=one.name,
-            life=one.life,
-            giver=two.peer,
+            boot_id=one.boot_id,
+            previous_holder=two.peer,
             short_ms=0,
             long_ms=5000,
             sent_epoch_ms=int((planes.clock.wall() - age_s) * 1000),
@@ -154,15 +154,15 @@
         one.plane.receive(message)
         self.assertEqual(is_taken, seat in one.held)
         if is_taken:
-            opens = one.plane.seats.held[seat].long_from
+            opens = one.plane.seats.held[seat].long_opens_at
             self.assertGreaterEqual(opens, planes.clock.monotonic() + 5)
 
     def test_lost_transfer_is_taken_back(self) -> None:
         """A seat recorded for a receiver that never got it stayed unused."""
         planes, (one, two) = self._planes(2, **_QUIET)
         planes.exchange.is_cut = lambda a, b: a == two.peer
-        two.plane.handle(Leave())
-        two.plane.handle(HandOver())
+        two.plane.handle(BeginStop())
+        two.plane.handle(TransferSeats())
         planes.run(1.5)
         two.is_dead = True
         self.assertTrue(planes.run_until(lambda: len(one.held) == 6, 40))
@@ -171,7 +171,7 @@
         """A late request made the holder give away more than its excess."""
         planes, (one, two) = self._planes(2, **_QUIET)
         request = SeatRequest(
-            instance=two.name, life=two.life, peer=two.peer, held=0
+            instance=two.name, boot_id=two.boot_id, peer=two.peer, held=0
         )
         for _ in range(3):
             one.plane.receive(request)
@@ -179,7 +179,7 @@
         three = planes.start(9)
         planes.run(2.0)
         late = SeatRequest(
-            instance=three.name, life=three.life, peer=three.peer, held=0
+            instance=three.name, boot_id=three.boot_id, peer=three.peer, held=0
         )
         one.plane.seats.releasing.clear()
         before = len(one.held)
@@ -213,7 +213,7 @@
         planes, (one,) = self._planes(1, **_QUIET)
         record, _ = one.records.read()
         other = msgspec.structs.replace(
-            record.owners[0], life="other", peer="127.9.9.9:1", epoch=1
+            record.owners[0], boot_id="other", peer="127.9.9.9:1", epoch=1
         )
         record.owners[0] = other
         for seat in one.plane.seats.held.values():
@@ -230,8 +230,8 @@
         """A transfer repeated after a pause came after a claim."""
         planes, (one, two) = self._planes(2, **_QUIET)
         planes.exchange.is_cut = lambda a, b: b == two.peer
-        one.plane.handle(Leave())
-        one.plane.handle(HandOver())
+        one.plane.handle(BeginStop())
+        one.plane.handle(TransferSeats())
         planes.run(0.5)
         self.assertTrue(one.plane.seats.transfers)
         self._pass_time(planes, 10.0)
@@ -242,12 +242,14 @@
         """A giver that died before it could write left a wrong owner."""
         planes, (one, two) = self._planes(2, **_QUIET)
         planes.cut_from_store.add(two.peer)
-        two.plane.handle(Leave())
-        two.plane.handle(HandOver())
+        two.plane.handle(BeginStop())
+        two.plane.handle(TransferSeats())
         planes.run(2.0)
         two.is_dead = True
         record, _ = one.records.read()
-        self.assertEqual({one.life}, {o.life for o in record.owners.values()})
+        self.assertEqual(
+            {one.boot_id}, {o.boot_id for o in record.owners.values()}
+        )
 
     def test_claims_are_told_to_the_member_taken_for_dead(self) -> None:
         """A live holder wrongly taken for dead went on using its seats."""
@@ -258,14 +260,14 @@
         one.plane.send = lambda to, m: (told.append((to, m)), send(to, m))
         planes.run_until(lambda: len(one.held) == 6, 30)
         planes.run(2.0)
-        news = [
+        gained_seats = [
             m
             for to, m in told
             if to == two.peer
-            and isinstance(m, SeatMarks)
-            and any(mark.epoch >= 2 * CLAIM_EPOCHS for mark in m.marks)
+            and isinstance(m, SeatHolderRecords)
+            and any(mark.epoch >= 2 * CLAIM_EPOCHS for mark in m.known_holders)
         ]
-        self.assertGreaterEqual(len(news), 4)
+        self.assertGreaterEqual(len(gained_seats), 4)
 
     def test_holder_cut_from_its_peers_reads_the_record(self) -> None:
         """In a large zone it takes an instance long to see that it is cut
@@ -294,8 +296,8 @@
         planes.store.items = {}
         planes.run(12.0)
         record, _ = one.records.read()
-        owners = {s: o.life for s, o in record.owners.items()}
-        expected = {s: p.life for p in (one, two) for s in p.held}
+        owners = {s: o.boot_id for s, o in record.owners.items()}
+        expected = {s: p.boot_id for p in (one, two) for s in p.held}
         self.assertEqual(expected, owners)
 
     def test_member_called_dead_that_answers_keeps_its_seats(self) -> None:
@@ -346,16 +348,16 @@
         changed_at = planes.clock.monotonic()
         self.assertTrue(planes.run_until(lambda: len(one.held) == 6, 30))
         for seat in gone:
-            opens = one.plane.seats.held[seat].short_from
+            opens = one.plane.seats.held[seat].short_opens_at
             self.assertGreaterEqual(opens, changed_at + least_s)
 
     # Liveness.
 
     def test_graceful_stop_hands_all_seats_over(self) -> None:
         planes, (one, _two, _three) = self._planes(3)
-        one.plane.handle(Leave())
+        one.plane.handle(BeginStop())
         planes.run(1.0)
-        one.plane.handle(HandOver())
+        one.plane.handle(TransferSeats())
         self.assertTrue(
             planes.run_until(lambda: one.plane.has_handed_over, limit_s=8)
         )
