--- a/chiverun/runtime/edge.py
+++ b/chiverun/runtime/edge.py
@@ -32,20 +32,20 @@
 from chiverun.runtime.sending import Sender
 from chiverun.runtime.servertable import ServerTable
 from chiverun.runtime.steering import Steering
-from chiverun.runtime.steering import Stopping
+from chiverun.runtime.steering import StopProgress
 
 _LOG = logbook.Logger("edge")
 
 # Look-up answers that clients have cached expire within this time.
-STOP_LINGER_S = 3.2
+STOP_SERVE_MIN_S = 3.2
 # Clients have moved to other instances after this time without a request.
-STOP_QUIET_S = 0.5
+STOP_IDLE_S = 0.5
 # Idle connections are closed after this time even if requests still come in:
 # one that arrives while the process exits would get no response.
-STOP_CLOSE_S = 4.2
+STOP_CLOSE_IDLE_AFTER_S = 4.2
 # Part of the grace period reserved for exit: sockets linger, and the
 # interpreter shuts down slowly on a slow machine.
-STOP_MARGIN_S = 0.9
+STOP_EXIT_RESERVE_S = 0.9
 _STOP_POLL_S = 0.05
 _RESTART_PAUSE_S = 0.5
 
@@ -65,7 +65,7 @@
         self._read_settings = read_settings
         self._loop = asyncio.get_running_loop()
         self._stopping = asyncio.Event()
-        self._stop_asked_at = 0.0
+        self._stop_requested_at = 0.0
         self._boot_id = BootId(uuid.uuid4().hex[:12])
         self._peers = ZmqPeers(bind=cfg.peer, addresses=AddressMap(mapping={}))
         self._me = Machine(
@@ -81,7 +81,7 @@
             store=store,
             peers=self._peers,
             seeds=cfg.seeds,
-            on_change=self._sync,
+            on_change=self._apply_catalog,
         )
         self.metrics = EdgeMetrics()
         self._servers = ServerTable(machine=cfg.name)
@@ -117,14 +117,15 @@
     async def _handle(self, incoming: IncomingRequest) -> OutgoingResponse:
         stopping = None
         if self.is_stopping():
-            since_s = self._loop.time() - self._stop_asked_at
-            stopping = Stopping(
-                since_s=since_s, ends_in_s=self._stop_after_s() - since_s
+            elapsed_s = self._loop.time() - self._stop_requested_at
+            stopping = StopProgress(
+                elapsed_s=elapsed_s,
+                remaining_s=self._serving_time_s() - elapsed_s,
             )
         return await self._steering.handle(incoming, stopping)
 
-    def _stop_after_s(self) -> float:
-        return self.cfg.bounds.stop_grace_s - STOP_MARGIN_S
+    def _serving_time_s(self) -> float:
+        return self.cfg.bounds.stop_grace_s - STOP_EXIT_RESERVE_S
 
     def is_stopping(self) -> bool:
         """Return whether a stop has been requested."""
@@ -147,8 +148,8 @@
         await self._listen(self.cfg.entry, self._entry)
         for address, handler in handlers.items():
             await self._listen(address, ListenerState(handler=handler))
-        self._spawn("follow", self.follower.follow)
-        self._spawn("beat", self.follower.beat)
+        self._start_task("follow", self.follower.follow)
+        self._start_task("beat", self.follower.send_heartbeats_forever)
         _LOG.info(
             "started",
             extra={
@@ -161,11 +162,11 @@
 
     async def run(self) -> None:
         """Serve until a stop is requested, then shut down gracefully."""
-        self._loop.add_signal_handler(signal.SIGTERM, self.ask_stop)
-        self._loop.add_signal_handler(signal.SIGINT, self.ask_stop)
+        self._loop.add_signal_handler(signal.SIGTERM, self.request_stop)
+        self._loop.add_signal_handler(signal.SIGINT, self.request_stop)
         self._loop.add_signal_handler(signal.SIGHUP, self._reload)
         await self._stopping.wait()
-        await self._leave()
+        await self._drain()
         self._close()
 
     def _reload(self) -> None:
@@ -177,25 +178,29 @@
             return
         _LOG.info("reloaded", extra={"changed": cfg != self.cfg})
 
-    def ask_stop(self) -> None:
+    def request_stop(self) -> None:
         """Begin a graceful shutdown; repeated calls have no effect."""
         if self.is_stopping():
             return
-        self._stop_asked_at = self._loop.time()
+        self._stop_requested_at = self._loop.time()
         self._stopping.set()
         self._entry.closing = True
         self.follower.leaving = True
-        self.follower.send_beats()
+        self.follower.send_heartbeats()
         _LOG.info("stop requested", extra={"active": self._entry.active()})
 
-    async def _leave(self) -> None:
+    async def _drain(self) -> None:
         """Serve late and running requests within the grace period."""
-        last_s = self._stop_after_s()
-        while (passed_s := self._loop.time() - self._stop_asked_at) < last_s:
+        serving_time_s = self._serving_time_s()
+        while (
+            elapsed_s := self._loop.time() - self._stop_requested_at
+        ) < serving_time_s:
             await asyncio.sleep(_STOP_POLL_S)
-            quiet_s = self._loop.time() - self._entry.last_request_at
-            is_quiet = quiet_s >= STOP_QUIET_S or passed_s >= STOP_CLOSE_S
-            if passed_s < STOP_LINGER_S or not is_quiet:
+            idle_s = self._loop.time() - self._entry.last_request_at
+            is_idle = (
+                idle_s >= STOP_IDLE_S or elapsed_s >= STOP_CLOSE_IDLE_AFTER_S
+            )
+            if elapsed_s < STOP_SERVE_MIN_S or not is_idle:
                 continue
             for listener in self._listeners:
                 listener.close()
@@ -206,7 +211,9 @@
         _LOG.info(
             "stopped",
             extra={
-                "after_s": round(self._loop.time() - self._stop_asked_at, 2),
+                "after_s": round(
+                    self._loop.time() - self._stop_requested_at, 2
+                ),
                 "active": self._entry.active(),
             },
         )
@@ -227,13 +234,15 @@
                 ResultCode.PORT_IN_USE, f"cannot listen on {address}: {exc}"
             ) from exc
 
-    def _spawn(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
+    def _start_task(
+        self, name: str, target: Callable[[], Awaitable[None]]
+    ) -> None:
         """Run an endless coroutine; log failures and restart it."""
 
         async def supervise() -> None:
             while True:
                 try:
-                    await work()
+                    await target()
                 except asyncio.CancelledError:
                     raise
                 except Exception:
@@ -252,7 +261,7 @@
         """Return the zone of each other live machine in the region."""
         return [m.zone for m in self.follower.table.live(self._loop.time())]
 
-    def _sync(self) -> None:
+    def _apply_catalog(self) -> None:
         """Apply a catalog change to the routes and the server table."""
         state = self.follower.replica.desired_state()
         if state is None:
--- a/chiverun/runtime/edgemetrics.py
+++ b/chiverun/runtime/edgemetrics.py
@@ -48,7 +48,7 @@
             "chiverun.sends.budget_refused"
         )
 
-    def note_request(self, status: int, seconds: float) -> None:
+    def record_request(self, status: int, seconds: float) -> None:
         """Count a completed request and record its latency."""
         self._requests.add(1, {"status": str(status)})
         self._latency.record(seconds)
--- a/chiverun/runtime/follower.py
+++ b/chiverun/runtime/follower.py
@@ -72,7 +72,7 @@
         self._peers = peers
         self._seeds = tuple(seed for seed in seeds if seed != me.peer)
         self._on_change = on_change
-        self._rng = random.Random(boot_id)
+        self._random = random.Random(boot_id)
         self._loop = asyncio.get_running_loop()
         self._reads_store = False
         self._needs_listing = True
@@ -81,7 +81,7 @@
         self._lapse_until = float("-inf")
         self._listed_at = float("-inf")
         self._list_changed = True
-        self._relays = False
+        self._is_relay = False
         self._has_read = False
 
     def start(self) -> None:
@@ -112,23 +112,23 @@
             try:
                 await self._read()
             except (CatalogUnavailable, HistoryCompacted) as exc:
-                self._note_failure(exc)
+                self._record_failure(exc)
                 self._pull()
                 await asyncio.sleep(RETRY_PAUSE_S)
             else:
                 await asyncio.sleep(READ_PAUSE_S)
 
-    async def beat(self) -> None:
+    async def send_heartbeats_forever(self) -> None:
         """Send heartbeats and expire old rows; never returns."""
         while True:
-            self.send_beats()
+            self.send_heartbeats()
             dropped = self.replica.expire(self._loop.time())
             if dropped:
                 _LOG.info("lapsed servers dropped", extra={"keys": dropped})
                 self._on_change()
             await asyncio.sleep(BEAT_PERIOD_S)
 
-    def send_beats(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send a heartbeat to the machines that expect it."""
         message = edgemessages.encode(
             Heartbeat(
@@ -149,17 +149,17 @@
         now = self._loop.time()
         if not self._has_read and not self.is_current:
             return True
-        self._relays = self.table.is_reader(
+        self._is_relay = self.table.is_reader(
             now, self._reads_store
         ) or self.table.is_relay_silent(now)
-        return self._relays
+        return self._is_relay
 
     async def _read(self) -> None:
         if self._needs_listing:
             changes = await self._store.read_all()
-            self._note_success()
+            self._record_success()
             self._needs_listing = False
-            self._take_listing(changes.items, changes.as_of, "store")
+            self._apply_listing(changes.items, changes.as_of, "store")
         else:
             try:
                 changes = await self._store.changes_since(
@@ -172,38 +172,38 @@
                 )
                 self._needs_listing = True
                 raise
-            self._note_success()
-            self._take_changes(changes)
+            self._record_success()
+            self._apply_changes(changes)
         await self._register()
 
     async def _register(self) -> None:
         """Write this machine's record unless it is already up to date."""
-        known = [
+        own_rows = [
             (row.revision, row.record)
             for row in self.replica.rows.values()
             if isinstance(row.record, Machine)
             and row.record.name == self._me.name
         ]
-        revision, record = known[0] if known else (Revision(0), None)
+        revision, record = own_rows[0] if own_rows else (Revision(0), None)
         if record == self._me or self.leaving:
             return
         is_written = await self._store.register(self._me, revision)
         _LOG.info("registered", extra={"written": is_written})
         self._needs_listing = self._needs_listing or not is_written
 
-    def _note_success(self) -> None:
-        away_s = self.age_s()
+    def _record_success(self) -> None:
+        outage_s = self.age_s()
         self._read_at = self._loop.time()
         if not self._reads_store:
-            _LOG.info("store regained", extra={"away_s": round(away_s, 3)})
-        if self._has_read and away_s >= OUTAGE_MIN_S:
+            _LOG.info("store regained", extra={"away_s": round(outage_s, 3)})
+        if self._has_read and outage_s >= OUTAGE_MIN_S:
             # Neither store reads nor a relay succeeded: the store was down.
             self._lapse_until = self._read_at + LAPSE_GRACE_S
         self._has_read = True
         self._reads_store = True
         self._is_loss_logged = False
 
-    def _note_failure(self, exc: Exception) -> None:
+    def _record_failure(self, exc: Exception) -> None:
         if isinstance(exc, HistoryCompacted):
             return
         self._reads_store = False
@@ -211,7 +211,7 @@
             self._is_loss_logged = True
             _LOG.warning("store lost", extra={"reason": str(exc)})
 
-    def _take_listing(
+    def _apply_listing(
         self, items: list[VersionedRecord], as_of: Revision, source: str
     ) -> None:
         since = self.replica.as_of
@@ -221,10 +221,10 @@
             now=self._loop.time(),
             lapse_until=self._lapse_until,
         )
-        self._note_changes(changed, source)
+        self._publish_changes(changed, source)
         self._relay(since, changed)
 
-    def _take_changes(self, changes: Changes) -> None:
+    def _apply_changes(self, changes: Changes) -> None:
         since = self.replica.as_of
         changed = self.replica.apply(
             changes.items,
@@ -232,7 +232,7 @@
             lapse_until=self._lapse_until,
         )
         self.replica.as_of = max(since, changes.as_of)
-        self._note_changes(changed, "store")
+        self._publish_changes(changed, "store")
         self._relay(since, changed)
 
     def _relay(self, since: Revision, changed: list[VersionedRecord]) -> None:
@@ -240,7 +240,7 @@
         now = self._loop.time()
         # This machine's own store reads count as relay messages.
         self.table.relay_heard_at = now
-        if not self._relays or not since:
+        if not self._is_relay or not since:
             return
         live = None
         if now - self._listed_at >= LIST_PERIOD_S or self._list_changed:
@@ -271,7 +271,7 @@
         near = self.table.live(self._loop.time()) or self.table.region()
         for machine in [*near, *self.table.others()]:
             by_region.setdefault(machine.region, []).append(machine.peer)
-        addresses = {self._rng.choice(rows) for rows in by_region.values()}
+        addresses = {self._random.choice(rows) for rows in by_region.values()}
         if not addresses:
             addresses = set(self._seeds)
         for address in addresses:
@@ -287,17 +287,17 @@
             return
         match message:
             case Heartbeat():
-                self._take_beat(message)
+                self._handle_heartbeat(message)
             case Update():
-                self._take_update(message)
+                self._handle_update(message)
             case Pull():
-                self._answer_pull(message)
+                self._handle_pull(message)
             case Snapshot():
                 if message.as_of > self.replica.as_of:
-                    self._take_listing(message.items, message.as_of, "peer")
+                    self._apply_listing(message.items, message.as_of, "peer")
                     self._needs_listing = False
 
-    def _take_beat(self, beat: Heartbeat) -> None:
+    def _handle_heartbeat(self, beat: Heartbeat) -> None:
         row = self.table.rows.get(beat.machine.name)
         was_leaving = row is not None and row.beat.leaving
         is_new = self.table.note_beat(beat, self._loop.time())
@@ -312,7 +312,7 @@
                 },
             )
 
-    def _take_update(self, update: Update) -> None:
+    def _handle_update(self, update: Update) -> None:
         now = self._loop.time()
         if update.since > self.replica.as_of:
             # An earlier update has been missed.
@@ -338,13 +338,13 @@
         self.replica.as_of = max(self.replica.as_of, update.as_of)
         if self.replica.as_of:
             self._needs_listing = False
-        self._note_changes(changed, f"peer {update.sender}")
+        self._publish_changes(changed, f"peer {update.sender}")
 
-    def _answer_pull(self, pull: Pull) -> None:
+    def _handle_pull(self, pull: Pull) -> None:
         if self.replica.as_of <= pull.as_of or not self.is_current:
             return
         if pull.as_of:
-            answer = Update(
+            reply = Update(
                 sender=self._me.name,
                 boot_id=self._boot_id,
                 since=pull.as_of,
@@ -353,12 +353,12 @@
                 lapse_left_s=max(0.0, self._lapse_until - self._loop.time()),
             )
         else:
-            answer = Snapshot(
+            reply = Snapshot(
                 as_of=self.replica.as_of, items=self.replica.listing()
             )
-        self._peers.send(pull.reply_to, edgemessages.encode(answer))
+        self._peers.send(pull.reply_to, edgemessages.encode(reply))
 
-    def _note_changes(
+    def _publish_changes(
         self, changed: list[VersionedRecord], source: str
     ) -> None:
         if not changed:
@@ -371,13 +371,13 @@
                     "key": item.key,
                     "revision": item.revision,
                     "source": source,
-                    **_summary(item),
+                    **_describe(item),
                 },
             )
         self._on_change()
 
 
-def _summary(item: VersionedRecord) -> dict:
+def _describe(item: VersionedRecord) -> dict:
     match item.record:
         case None:
             return {"now": "deleted"}
--- a/chiverun/runtime/healthcheck.py
+++ b/chiverun/runtime/healthcheck.py
@@ -56,7 +56,7 @@
         self._stopping = threading.Event()
         self._lock = threading.Lock()
         self._checking: set[ServerName] = set()
-        self._listed: frozenset[ServerName] = frozenset()
+        self._last_leaving: frozenset[ServerName] = frozenset()
         self._threads = [
             threading.Thread(
                 target=self._repeat, args=args, daemon=True, name="health"
@@ -103,7 +103,7 @@
 
     def _check(self, server: Server) -> None:
         try:
-            if self._says_so(server):
+            if self._check_draining(server):
                 names = frozenset({server.name})
                 self._report(ServersLeaving(servers=names))
         finally:
@@ -119,8 +119,8 @@
         if self._instances is None or not self._plane.is_watcher():
             return
         with contextlib.suppress(StoreUnavailable):
-            self._listed = self._instances.leaving()
-        names = self._listed & {s.name for s in self._servers()}
+            self._last_leaving = self._instances.leaving()
+        names = self._last_leaving & {s.name for s in self._servers()}
         if names:
             self._report(ServersLeaving(servers=names))
 
@@ -129,7 +129,7 @@
         servers = self._plane.snapshot.state.of(Server).values()
         return [s for s in servers if s.zone == zone]
 
-    def _says_so(self, server: Server) -> bool:
+    def _check_draining(self, server: Server) -> bool:
         """Send a health check; return whether the server is draining."""
         end = self._backends.exchange(
             server.address,
--- a/chiverun/runtime/hedging.py
+++ b/chiverun/runtime/hedging.py
@@ -20,36 +20,36 @@
     """Bounded thread pool for attempts; thread-safe."""
 
     def __init__(self, *, threads: int = HEDGE_THREADS) -> None:
-        self._free = threading.Semaphore(threads)
+        self._free_threads = threading.Semaphore(threads)
         self._pool = ThreadPoolExecutor(
             max_workers=threads, thread_name_prefix="attempt"
         )
 
     def start(self, send: Send) -> "HedgedRequest | None":
         """Start the first attempt; return None if no thread is free."""
-        race = HedgedRequest(self)
-        return race if race.add(send) else None
+        hedged = HedgedRequest(self)
+        return hedged if hedged.add(send) else None
 
     def submit(self, call: Callable[[], None]) -> bool:
         """Run a call on a free thread; return whether there was one."""
-        if not self._free.acquire(blocking=False):
+        if not self._free_threads.acquire(blocking=False):
             return False
         context = contextvars.copy_context()
         try:
-            self._pool.submit(self._work, context, call)
+            self._pool.submit(self._run, context, call)
         except RuntimeError:
             # The interpreter is shutting down.
-            self._free.release()
+            self._free_threads.release()
             return False
         return True
 
-    def _work(
+    def _run(
         self, context: contextvars.Context, call: Callable[[], None]
     ) -> None:
         try:
             context.run(call)
         finally:
-            self._free.release()
+            self._free_threads.release()
 
 
 class HedgedRequest:
@@ -57,7 +57,7 @@
 
     def __init__(self, threads: HedgePool) -> None:
         self._threads = threads
-        self._changed = threading.Condition()
+        self._ended = threading.Condition()
         self._cancellations: list[Cancellation] = []
         self._ends: list[ExchangeEnd] = []
 
@@ -70,26 +70,26 @@
             try:
                 end = send(cancellation)
             finally:
-                with self._changed:
+                with self._ended:
                     self._ends.append(end)
-                    self._changed.notify_all()
+                    self._ended.notify_all()
 
-        with self._changed:
+        with self._ended:
             self._cancellations.append(cancellation)
         if self._threads.submit(run):
             return True
-        with self._changed:
+        with self._ended:
             self._cancellations.remove(cancellation)
         return False
 
     def wait(self, seconds: float) -> None:
         """Wait until an attempt has ended or `seconds` have passed."""
-        with self._changed:
-            self._changed.wait_for(lambda: self._ends, seconds)
+        with self._ended:
+            self._ended.wait_for(lambda: self._ends, seconds)
 
     def is_any_finished(self) -> bool:
         """Return whether an attempt has ended."""
-        with self._changed:
+        with self._ended:
             return bool(self._ends)
 
     def result(self) -> ExchangeEnd:
@@ -98,16 +98,16 @@
         Without an answer, an end after which the request may have run takes
         precedence over one that proves that it did not run.
         """
-        with self._changed:
-            self._changed.wait_for(
+        with self._ended:
+            self._ended.wait_for(
                 lambda: (
                     self._answer() is not None
                     or len(self._ends) == len(self._cancellations)
                 )
             )
-            is_over = len(self._ends) == len(self._cancellations)
+            is_complete = len(self._ends) == len(self._cancellations)
             result = self._answer() or max(self._ends, key=_may_have_run)
-        if not is_over:
+        if not is_complete:
             for cancellation in self._cancellations:
                 cancellation.cancel()
         return result
--- a/chiverun/runtime/publishing.py
+++ b/chiverun/runtime/publishing.py
@@ -18,7 +18,7 @@
     from chiverun.runtime.context import ControlContext
 
 # Remote instances without an advert for this long are left out of look-ups.
-REMOTE_LISTED_S = 15.0
+REMOTE_ADVERT_AGE_MAX_S = 15.0
 # Period at which the zone views are rebuilt, and so the maximum lag of their
 # free slots behind the adverts. Rebuilding them at every tick took most of
 # the control plane's time.
@@ -90,7 +90,7 @@
         return False
     if row.zone == ctx.identity.zone:
         return row.is_live
-    return now - row.measured_at <= REMOTE_LISTED_S
+    return now - row.measured_at <= REMOTE_ADVERT_AGE_MAX_S
 
 
 def _zone_view(
--- a/chiverun/runtime/request.py
+++ b/chiverun/runtime/request.py
@@ -115,15 +115,15 @@
     def _deadline(
         self, req: IncomingRequest, request_class: RequestClass
     ) -> float:
-        most_ms = request_class.deadline_ms
-        text = req.header("x-deadline-ms", str(most_ms))
+        max_ms = request_class.deadline_ms
+        text = req.header("x-deadline-ms", str(max_ms))
         is_number = text.isascii() and text.isdigit() and len(text) <= 15
         if not is_number or int(text) == 0:
             raise ChiverunError(
                 ResultCode.DEADLINE_INVALID,
-                f"X-Deadline-Ms is {text!r}; valid: 1 to {most_ms}",
+                f"X-Deadline-Ms is {text!r}; valid: 1 to {max_ms}",
             )
-        return self._clock.monotonic() + min(int(text), most_ms) / 1000.0
+        return self._clock.monotonic() + min(int(text), max_ms) / 1000.0
 
 
 def match_class(service: Service, method: str, path: str) -> RequestClass:
@@ -142,9 +142,9 @@
     raise ChiverunError(
         ResultCode.CLASS_UNKNOWN,
         f"{method} {path} matches no class of service {service.name}; "
-        f"valid: {', '.join(_rule(c) for c in service.classes)}",
+        f"valid: {', '.join(_describe_class(c) for c in service.classes)}",
     )
 
 
-def _rule(request_class: RequestClass) -> str:
+def _describe_class(request_class: RequestClass) -> str:
     return f"{'|'.join(request_class.methods)} {request_class.path_prefix}"
--- a/chiverun/runtime/selection.py
+++ b/chiverun/runtime/selection.py
@@ -18,7 +18,7 @@
 from chiverun.core.placement import place_of
 from chiverun.core.placement import rendezvous
 from chiverun.core.placement import zone_first
-from chiverun.runtime.servertable import CONNECTIONS_PART
+from chiverun.runtime.servertable import CONNECTIONS_FRACTION
 from chiverun.runtime.servertable import ServerRow
 from chiverun.runtime.servertable import ServerTable
 
@@ -33,14 +33,14 @@
 # A server without a free slot still gets a key's requests while the expected
 # latency is within this multiple of the objective: on another server the key
 # may be cold.
-OPEN_OBJECTIVES = 1.0
+OPEN_OBJECTIVE_FACTOR = 1.0
 # A run slower than this fraction of its objective counts as a run on a cold
 # cache; the next run on that server is expected to be warm.
-RUN_OBJECTIVE_PART = 0.5
+RUN_OBJECTIVE_FRACTION = 0.5
 # A server whose load is below this fraction of its slots serves keys of
 # servers that are not open, so that these requests are not refused.
-IDLE_LOAD_PART = 0.3
-_ORDERS_MAX = 4096
+IDLE_LOAD_FRACTION = 0.3
+_RANKINGS_MAX = 4096
 
 Shares = dict[RegionName, float]
 ZoneShares = dict[ZoneName, float]
@@ -50,14 +50,14 @@
 class Placement:
     """Routing key, permitted regions and expected latency of a request.
 
-    `usual_s` is the typical response time, `run_s` the part of it without
+    `typical_s` is the typical response time, `run_s` the part of it without
     the wait for a slot.
     """
 
     service: ServiceName
     key: str
     homes: tuple[RegionName, ...]
-    usual_s: float
+    typical_s: float
     run_s: float
     objective_s: float
 
@@ -89,13 +89,13 @@
         self._bounds = bounds
         self._machines = machines
         self._generation = -1
-        self._orders: dict[tuple, list[ServerRow]] = {}
+        self._rankings: dict[tuple, list[ServerRow]] = {}
         self._shares: dict[tuple, Shares] = {}
         self._zone_shares: dict[ServiceName, ZoneShares] = {}
 
     def choose(
         self,
-        place: Placement,
+        placement: Placement,
         spec: ServiceSpec | None,
         tried: set[ServerName],
         now: float,
@@ -106,34 +106,36 @@
         region shares move requests between regions.
         """
         self._refresh()
-        for region in self._regions(place):
+        for region in self._preferred_regions(placement):
             rows = [
                 row
-                for row in self._order(place, region)
-                if row.server.name not in tried and self._has_room(row, spec)
+                for row in self._ranked_rows(placement, region)
+                if row.server.name not in tried
+                and self._has_free_connection(row, spec)
             ]
-            chosen = self._pick(rows, place, spec, now)
+            chosen = self._select(rows, placement, spec, now)
             if chosen is not None:
                 return chosen
         return None
 
     def _refresh(self) -> None:
         stale = self._generation != self._table.generation
-        if stale or len(self._orders) > _ORDERS_MAX:
+        if stale or len(self._rankings) > _RANKINGS_MAX:
             self._generation = self._table.generation
-            self._orders.clear()
+            self._rankings.clear()
             self._shares.clear()
             self._zone_shares.clear()
 
-    def _regions(self, place: Placement) -> list[RegionName]:
+    def _preferred_regions(self, placement: Placement) -> list[RegionName]:
         """Return the permitted regions in order of preference."""
-        shares = self._shares_of(place.service, place.homes)
-        first = place_of("region", place.key, shares, self._region)
+        shares = self._shares_of(placement.service, placement.homes)
+        first = place_of("region", placement.key, shares, self._region)
         others = {
-            row.region for row in self._table.by_service.get(place.service, ())
+            row.region
+            for row in self._table.by_service.get(placement.service, ())
         }
-        if place.homes:
-            others &= set(place.homes)
+        if placement.homes:
+            others &= set(placement.homes)
         ordered = [first]
         if self._region in others and self._region != first:
             ordered.append(self._region)
@@ -162,82 +164,86 @@
         demand[self._region] = 1.0
         return fair_shares(capacity, demand, self._region)
 
-    def _order(self, place: Placement, region: RegionName) -> list[ServerRow]:
-        key = (place.service, region, place.key)
-        rows = self._orders.get(key)
+    def _ranked_rows(
+        self, placement: Placement, region: RegionName
+    ) -> list[ServerRow]:
+        key = (placement.service, region, placement.key)
+        rows = self._rankings.get(key)
         if rows is None:
             servers = [
                 row.server
-                for row in self._table.by_service.get(place.service, ())
+                for row in self._table.by_service.get(placement.service, ())
                 if row.region == region and row.is_usable
             ]
-            ranked = rendezvous(place.key, servers)
+            ranked = rendezvous(placement.key, servers)
             if region == self._region:
-                ranked = zone_first(ranked, self._zone_of(place))
+                ranked = zone_first(ranked, self._preferred_zone(placement))
             rows = [self._table.rows[server.name] for server in ranked]
-            self._orders[key] = rows
+            self._rankings[key] = rows
         return rows
 
-    def _zone_of(self, place: Placement) -> ZoneName:
+    def _preferred_zone(self, placement: Placement) -> ZoneName:
         """Return the preferred zone of a key in the local region."""
-        shares = self._zone_shares.get(place.service)
+        shares = self._zone_shares.get(placement.service)
         if shares is None:
             capacity: dict[ZoneName, float] = {}
-            for row in self._table.by_service.get(place.service, ()):
+            for row in self._table.by_service.get(placement.service, ()):
                 if row.region == self._region and row.is_usable:
                     zone = row.server.zone
                     capacity[zone] = capacity.get(zone, 0) + row.server.slots
             # Clients spread evenly over the machines of their region.
             demand = collections.Counter([*self._region_zones(), self._zone])
             shares = fair_shares(capacity, demand, self._zone)
-            self._zone_shares[place.service] = shares
-        return place_of("zone", place.key, shares, self._zone)
+            self._zone_shares[placement.service] = shares
+        return place_of("zone", placement.key, shares, self._zone)
 
-    def _has_room(self, row: ServerRow, spec: ServiceSpec | None) -> bool:
+    def _has_free_connection(
+        self, row: ServerRow, spec: ServiceSpec | None
+    ) -> bool:
         if row.idle or spec is None:
             return True
-        limit = spec.connections_max * CONNECTIONS_PART
+        limit = spec.connections_max * CONNECTIONS_FRACTION
         return row.connections < max(
             1, int(limit / max(1, len(self._machines())))
         )
 
-    def _pick(
+    def _select(
         self,
         rows: list[ServerRow],
-        place: Placement,
+        placement: Placement,
         spec: ServiceSpec | None,
         now: float,
     ) -> ServerRow | Overloaded | None:
-        stall_s = max(STALL_MIN_S, STALL_FACTOR * place.usual_s)
-        sound = [
+        stall_s = max(STALL_MIN_S, STALL_FACTOR * placement.typical_s)
+        eligible = [
             row
             for row in rows
             if now >= row.misdirected_until
             and eligibility(row.health, now) is Eligibility.OPEN
         ]
         # If all servers are stalled, they are overloaded, not unresponsive.
-        lively = [
-            row for row in sound if not row.is_stalled(now, stall_s)
-        ] or sound
-        if not lively:
-            return self._first_allowed(_by_load(rows, now), spec, now)
-        preferred = lively[:KEY_SERVERS]
-        open_rows = [row for row in preferred if _is_open(row, place, now)]
+        responsive = [
+            row for row in eligible if not row.is_stalled(now, stall_s)
+        ] or eligible
+        if not responsive:
+            return self._first_permitted(_by_load(rows, now), spec, now)
+        preferred = responsive[:KEY_SERVERS]
+        open_rows = [row for row in preferred if _is_open(row, placement, now)]
         # The key's data is most likely cold on any other server.
         idle = [
             row
-            for row in lively
-            if row.load.total(now) < IDLE_LOAD_PART * row.server.slots
+            for row in responsive
+            if row.load.total(now) < IDLE_LOAD_FRACTION * row.server.slots
         ]
         if not open_rows and not idle:
-            waits = [_wait_s(row, place, now) for row in preferred]
+            waits = [_wait_s(row, placement, now) for row in preferred]
             return Overloaded(wait_s=min(waits))
         # Other servers follow for keys whose servers are at the cold limit.
-        others = [row for row in lively if _is_open(row, place, now)]
+        others = [row for row in responsive if _is_open(row, placement, now)]
         ordered = [*open_rows, *_by_load(idle, now), *_by_load(others, now)]
-        return self._first_allowed(ordered, spec, now)
+        return self._first_permitted(ordered, spec, now)
 
-    def _first_allowed(
+    def _first_permitted(
         self, rows: list[ServerRow], spec: ServiceSpec | None, now: float
     ) -> ServerRow | None:
         for row in rows:
@@ -257,12 +263,12 @@
         return row.cold.try_consume(now, per_s, self._machines())
 
 
-def _is_open(row: ServerRow, place: Placement, now: float) -> bool:
+def _is_open(row: ServerRow, placement: Placement, now: float) -> bool:
     """Return whether a server has a free slot or could respond in time."""
     if row.load.total(now) < row.server.slots:
         return True
-    expected_s = _expected_s(row, place, now)
-    return expected_s <= OPEN_OBJECTIVES * place.objective_s
+    expected_s = _expected_s(row, placement, now)
+    return expected_s <= OPEN_OBJECTIVE_FACTOR * placement.objective_s
 
 
 def _by_load(rows: list[ServerRow], now: float) -> list[ServerRow]:
@@ -275,23 +281,25 @@
     return 1 + max(0.0, row.load.total(now) - slots + 1) / slots
 
 
-def _wait_s(row: ServerRow, place: Placement, now: float) -> float:
+def _wait_s(row: ServerRow, placement: Placement, now: float) -> float:
     """Return the expected wait for a slot of a request sent now."""
-    return place.run_s * (queue_factor(row, now) - 1)
+    return placement.run_s * (queue_factor(row, now) - 1)
 
 
-def _expected_s(row: ServerRow, place: Placement, now: float) -> float:
+def _expected_s(row: ServerRow, placement: Placement, now: float) -> float:
     """Return the expected response time of a request sent now."""
-    run_s = min(place.run_s, RUN_OBJECTIVE_PART * place.objective_s)
-    return _wait_s(row, place, now) + run_s
+    run_s = min(
+        placement.run_s, RUN_OBJECTIVE_FRACTION * placement.objective_s
+    )
+    return _wait_s(row, placement, now) + run_s
 
 
-def placement(
+def make_placement(
     route: Route,
     service: ServiceName,
     affinity_key: str,
     request_id: str,
-    usual_s: float,
+    typical_s: float,
     run_s: float,
 ) -> Placement:
     """Return the placement of a request.
@@ -303,7 +311,7 @@
         service=service,
         key=f"{route.host}{route.prefix}\0{key}",
         homes=route.homes,
-        usual_s=usual_s,
+        typical_s=typical_s,
         run_s=run_s,
         objective_s=route.objective_s,
     )
--- a/chiverun/runtime/sending.py
+++ b/chiverun/runtime/sending.py
@@ -24,7 +24,7 @@
 from chiverun.runtime.headercodec import HeaderCodec
 from chiverun.runtime.headercodec import RequestMetadata
 from chiverun.runtime.headercodec import ResponseMetadata
-from chiverun.runtime.servertable import MISDIRECTED_S
+from chiverun.runtime.servertable import MISDIRECTED_PAUSE_S
 from chiverun.runtime.servertable import ServerRow
 
 _LOG = logbook.Logger("send")
@@ -56,7 +56,7 @@
     """Result of a send and the metadata of its response."""
 
     end: ExchangeEnd
-    facts: ResponseMetadata | None = None
+    metadata: ResponseMetadata | None = None
 
     @property
     def is_not_run(self) -> bool:
@@ -76,27 +76,27 @@
         self,
         row: ServerRow,
         request: IncomingRequest,
-        facts: RequestMetadata,
+        metadata: RequestMetadata,
         *,
         repeatable: bool,
-        until: float,
-        usual_s: float,
+        deadline: float,
+        typical_s: float,
     ) -> SendResult:
-        """Send a request once; `until` is its deadline in event loop time."""
+        """Send a request once; `deadline` is in event loop time."""
         number = next(self._numbers)
         started_at = self._loop.time()
-        known_load = _known_load(row, started_at)
+        load_at_selection = _load_at_selection(row, started_at)
         row.load.in_flight += 1
         row.waiting[number] = started_at
         try:
             result = await self._exchange(
-                row, request, facts, repeatable, until
+                row, request, metadata, repeatable, deadline
             )
         except asyncio.CancelledError:
             _LOG.info(
                 "send cancelled",
                 extra={
-                    "id": facts.request_id,
+                    "id": metadata.request_id,
                     "server": row.server.name,
                     "zone": row.server.zone,
                     "ms": round(1000 * (self._loop.time() - started_at), 1),
@@ -106,34 +106,37 @@
         finally:
             row.load.in_flight -= 1
             del row.waiting[number]
-        self._record(row, result, request, facts, started_at, usual_s)
-        self._log(row, result, request, facts, started_at, known_load)
+        self._record(row, result, request, metadata, started_at, typical_s)
+        self._log(
+            row, result, request, metadata, started_at, load_at_selection
+        )
         return result
 
     async def _exchange(
         self,
         row: ServerRow,
         request: IncomingRequest,
-        facts: RequestMetadata,
+        metadata: RequestMetadata,
         repeatable: bool,
-        until: float,
+        deadline: float,
     ) -> SendResult:
         idle_max_s = (
             row.keep_alive_s if repeatable else UNREPEATABLE_IDLE_MAX_S
         )
-        connection = row.take_idle(self._loop.time(), idle_max_s)
+        connection = row.pop_idle(self._loop.time(), idle_max_s)
         if connection is None:
-            connection = await self._open(row, until)
+            connection = await self._connect(row, deadline)
         if isinstance(connection, NotSent):
             return SendResult(end=connection)
         try:
-            remaining_s = until - self._loop.time()
+            remaining_s = deadline - self._loop.time()
             if remaining_s <= 0:
                 return SendResult(end=NotSent(detail="deadline passed"))
             end = await connection.exchange(
-                self._outgoing(row, request, facts, remaining_s), remaining_s
+                self._outgoing_request(row, request, metadata, remaining_s),
+                remaining_s,
             )
-            result = self._interpret(row, end, request_id=facts.request_id)
+            result = self._interpret(row, end, request_id=metadata.request_id)
             if isinstance(result.end, Mismatched | Incomplete):
                 connection.abort()
             return result
@@ -141,12 +144,12 @@
             connection.abort()
             raise
         finally:
-            row.keep(connection, self._loop.time())
+            row.release(connection, self._loop.time())
 
-    async def _open(
-        self, row: ServerRow, until: float
+    async def _connect(
+        self, row: ServerRow, deadline: float
     ) -> ClientConnection | NotSent:
-        timeout_s = min(CONNECT_TIMEOUT_S, until - self._loop.time())
+        timeout_s = min(CONNECT_TIMEOUT_S, deadline - self._loop.time())
         row.connections += 1
         try:
             connection = await connect(
@@ -162,11 +165,11 @@
             raise
         return connection
 
-    def _outgoing(
+    def _outgoing_request(
         self,
         row: ServerRow,
         request: IncomingRequest,
-        facts: RequestMetadata,
+        metadata: RequestMetadata,
         remaining_s: float,
     ) -> OutgoingRequest:
         headers = end_to_end(request.headers)
@@ -184,14 +187,14 @@
                 for name, value in headers
             ],
             body=request.body,
-            matches_request=lambda rows: self._matches_request(rows, facts),
+            matches_request=lambda rows: self._matches_request(rows, metadata),
         )
 
     def _matches_request(
-        self, headers: Headers, facts: RequestMetadata
+        self, headers: Headers, metadata: RequestMetadata
     ) -> bool:
         echoed = self._header_codec.response_metadata(200, headers).request_id
-        return echoed is None or echoed == facts.request_id
+        return echoed is None or echoed == metadata.request_id
 
     def _interpret(
         self, row: ServerRow, end: ExchangeEnd, *, request_id: str
@@ -199,64 +202,68 @@
         if not isinstance(end, Answered):
             return SendResult(end=end)
         headers = list(end.headers)
-        facts = self._header_codec.response_metadata(end.status, headers)
-        _note_keep_alive(row, headers)
-        is_named = facts.is_stamped and facts.request_id == request_id
-        if end.status < 300 and not is_named:
+        metadata = self._header_codec.response_metadata(end.status, headers)
+        _update_keep_alive(row, headers)
+        is_matched = metadata.is_stamped and metadata.request_id == request_id
+        if end.status < 300 and not is_matched:
             # Nothing proves that this success belongs to the request.
             return SendResult(
-                end=Mismatched(request_id=facts.request_id or "none"),
-                facts=facts,
+                end=Mismatched(request_id=metadata.request_id or "none"),
+                metadata=metadata,
             )
         if any(name.lower() == "content-encoding" for name, _ in headers):
             detail = "response body was encoded in transit"
-            return SendResult(end=Incomplete(detail=detail), facts=facts)
-        if not facts.not_run:
-            return SendResult(end=end, facts=facts)
-        return SendResult(end=Shed(reason=ShedReason.OVERLOAD), facts=facts)
+            return SendResult(end=Incomplete(detail=detail), metadata=metadata)
+        if not metadata.not_run:
+            return SendResult(end=end, metadata=metadata)
+        return SendResult(
+            end=Shed(reason=ShedReason.OVERLOAD), metadata=metadata
+        )
 
     def _record(
         self,
         row: ServerRow,
         result: SendResult,
         request: IncomingRequest,
-        facts: RequestMetadata,
+        metadata: RequestMetadata,
         started_at: float,
-        usual_s: float,
+        typical_s: float,
     ) -> None:
         now = self._loop.time()
-        said = result.facts
-        if said is not None:
+        response = result.metadata
+        if response is not None:
             row.answered_at = now
-            if said.load is not None:
-                row.load.report(said.load.running, said.load.waiting, now)
-            if said.cold_s:
-                row.cold_until = max(row.cold_until, now + said.cold_s)
-        if said is not None and said.is_other_server:
-            row.misdirected_until = now + MISDIRECTED_S
+            if response.load is not None:
+                row.load.report(
+                    response.load.running, response.load.waiting, now
+                )
+            if response.cold_s:
+                row.cold_until = max(row.cold_until, now + response.cold_s)
+        if response is not None and response.is_other_server:
+            row.misdirected_until = now + MISDIRECTED_PAUSE_S
             row.close_idle()
         elif isinstance(result.end, NotSent):
             if now - started_at > 0 and "deadline" not in result.end.detail:
                 eject(row.health, now)
         else:
-            record(row.health, result.end, now - started_at, usual_s, now)
+            record(row.health, result.end, now - started_at, typical_s, now)
 
     def _log(
         self,
         row: ServerRow,
         result: SendResult,
         request: IncomingRequest,
-        facts: RequestMetadata,
+        metadata: RequestMetadata,
         started_at: float,
-        known_load: dict,
+        load_at_selection: dict,
     ) -> None:
         now = self._loop.time()
-        said = result.facts
+        response = result.metadata
         _LOG.info(
             "send finished",
             extra={
-                "id": facts.request_id,
-                "key": facts.affinity_key,
+                "id": metadata.request_id,
+                "key": metadata.affinity_key,
                 "target": request.target,
                 "server": row.server.name,
                 "zone": row.server.zone,
@@ -264,16 +271,16 @@
                 "end": type(result.end).__name__,
                 "status": getattr(result.end, "status", None),
                 "detail": getattr(result.end, "detail", None),
-                "load": dataclasses.asdict(said.load)
-                if said is not None and said.load is not None
+                "load": dataclasses.asdict(response.load)
+                if response is not None and response.load is not None
                 else None,
                 "in_flight": row.load.in_flight,
-                **known_load,
+                **load_at_selection,
             },
         )
 
 
-def _known_load(row: ServerRow, now: float) -> dict:
+def _load_at_selection(row: ServerRow, now: float) -> dict:
     """Return the load estimate at selection and the age of its report."""
     age_s = now - row.load.reported_at
     return {
@@ -284,19 +291,19 @@
 
 def end_to_end(headers: Headers) -> Headers:
     """Return the end-to-end headers, without hop-by-hop and framing ones."""
-    named = {
+    listed = {
         token.strip().lower()
         for name, value in headers
         if name.lower() == "connection"
         for token in value.split(",")
     }
-    dropped = _HOP_BY_HOP | _OWN_FRAMING | (named - {"host"})
+    dropped = _HOP_BY_HOP | _OWN_FRAMING | (listed - {"host"})
     return [
         (name, value) for name, value in headers if name.lower() not in dropped
     ]
 
 
-def _note_keep_alive(row: ServerRow, headers: Headers) -> None:
+def _update_keep_alive(row: ServerRow, headers: Headers) -> None:
     for name, value in headers:
         if name.lower() != "keep-alive":
             continue
--- a/chiverun/runtime/servertable.py
+++ b/chiverun/runtime/servertable.py
@@ -22,10 +22,10 @@
 _LOG = logbook.Logger("servers")
 
 # Fraction of a server's connection limit that all machines use together.
-CONNECTIONS_PART = 0.85
+CONNECTIONS_FRACTION = 0.85
 # A server is skipped for this time after another one responded at its
 # address.
-MISDIRECTED_S = 3.0
+MISDIRECTED_PAUSE_S = 3.0
 # Idle timeout of a server that sends no Keep-Alive header.
 KEEP_ALIVE_DEFAULT_S = 4.0
 
@@ -56,7 +56,7 @@
         """Whether the server is ready and its zone is not evacuated."""
         return self.server.state is ServerState.READY and not self.is_evacuated
 
-    def take_idle(
+    def pop_idle(
         self, now: float, idle_max_s: float
     ) -> ClientConnection | None:
         """Return the most recently used connection, if still fresh."""
@@ -71,7 +71,7 @@
             self.discard(connection)
         return None
 
-    def keep(self, connection: ClientConnection, now: float) -> None:
+    def release(self, connection: ClientConnection, now: float) -> None:
         """Return a connection to the pool, or discard it."""
         if connection.reusable:
             connection.idle_since = now
--- a/chiverun/runtime/steering.py
+++ b/chiverun/runtime/steering.py
@@ -21,11 +21,11 @@
 from chiverun.runtime.edgemetrics import EdgeMetrics
 from chiverun.runtime.headercodec import HeaderCodec
 from chiverun.runtime.headercodec import RequestMetadata
+from chiverun.runtime.selection import make_placement
 from chiverun.runtime.selection import Overloaded
 from chiverun.runtime.selection import Placement
-from chiverun.runtime.selection import placement
 from chiverun.runtime.selection import queue_factor
-from chiverun.runtime.selection import RUN_OBJECTIVE_PART
+from chiverun.runtime.selection import RUN_OBJECTIVE_FRACTION
 from chiverun.runtime.selection import Selector
 from chiverun.runtime.sending import end_to_end
 from chiverun.runtime.sending import Sender
@@ -45,16 +45,16 @@
 RETRY_AFTER_MAX_S = 3.0
 # A request is hedged once it has taken this many times the route's typical
 # latency and at least this fraction of the route's latency objective.
-HEDGE_USUAL_FACTOR = 3.0
-HEDGE_OBJECTIVE_PART = 0.9
+HEDGE_LATENCY_FACTOR = 3.0
+HEDGE_OBJECTIVE_FRACTION = 0.9
 # A stopping instance accepts a request if this many times the route's typical
 # latency fits into the remaining time. After STOP_LATE_S the whole route
 # timeout must fit, since clients have been directed elsewhere by then.
-STOP_USUAL_FACTOR = 4.0
+STOP_LATENCY_FACTOR = 4.0
 STOP_LATE_S = 2.8
 # Sends per request, including those that did not run.
 SENDS_MAX = 4
-USUAL_WEIGHT = 0.05
+LATENCY_SAMPLE_WEIGHT = 0.05
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -62,11 +62,11 @@
     """State of a client's request in progress; times are event loop time."""
 
     incoming: IncomingRequest
-    facts: RequestMetadata
+    metadata: RequestMetadata
     route: Route
     service: ServiceName
-    place: Placement
-    until: float
+    placement: Placement
+    deadline: float
     # Number of sends that may have run on a server.
     runs: int = 0
     sends: int = 0
@@ -80,11 +80,11 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Stopping:
+class StopProgress:
     """Time since the stop request and time left until the process exits."""
 
-    since_s: float
-    ends_in_s: float
+    elapsed_s: float
+    remaining_s: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -120,64 +120,67 @@
         self._metrics = metrics
         self._splits = SplitTable()
         self._budgets: dict[ServiceName, SendBudget] = {}
-        self._usual: dict[str, float] = {}
-        self._runs: dict[str, float] = {}
+        self._typical_latencies: dict[str, float] = {}
+        self._run_times: dict[str, float] = {}
         self._loop = asyncio.get_running_loop()
 
     async def handle(
-        self, incoming: IncomingRequest, stopping: Stopping | None
+        self, incoming: IncomingRequest, stopping: StopProgress | None
     ) -> OutgoingResponse:
         """Serve a client's request.
 
         A stopping instance refuses a request that may outlast it.
         """
-        facts = self._header_codec.request_metadata(incoming)
+        metadata = self._header_codec.request_metadata(incoming)
         if self.routes is None:
             return self._refuse(
-                facts, "no desired state has been received yet"
+                metadata, "no desired state has been received yet"
             )
         path = incoming.target.partition("?")[0]
         host = (incoming.header("host") or "").partition(":")[0]
         route = self.routes.find(host, path)
         if route is None:
-            self._log(facts, 404, "no route", version=self.routes.version)
+            self._log(metadata, 404, "no route", version=self.routes.version)
             return OutgoingResponse(status=404, headers=[])
-        if stopping and may_outlast(stopping, route, self._usual_s(route)):
-            return self._refuse(facts, "stopping")
-        request = self._request(incoming, facts, route)
+        if stopping and may_outlast(stopping, route, self._typical_s(route)):
+            return self._refuse(metadata, "stopping")
+        request = self._new_request(incoming, metadata, route)
         try:
             return await self._serve(request)
         except asyncio.CancelledError:
-            self._log(facts, 0, "client left", route=route.name)
+            self._log(metadata, 0, "client left", route=route.name)
             raise
         finally:
             for task in request.pending:
                 task.cancel()
 
-    def _request(
-        self, incoming: IncomingRequest, facts: RequestMetadata, route: Route
+    def _new_request(
+        self,
+        incoming: IncomingRequest,
+        metadata: RequestMetadata,
+        route: Route,
     ) -> Request:
         service = self._splits.choose(
             f"{route.host}{route.prefix}", route.parts
         )
         budget = self._budget(service)
         budget.note_request(self._loop.time())
-        deadline_s = facts.deadline_s or DEADLINE_DEFAULT_S
+        deadline_s = metadata.deadline_s or DEADLINE_DEFAULT_S
         limit_s = min(deadline_s, route.timeout_s + TIMEOUT_SLACK_S)
         return Request(
             incoming=incoming,
-            facts=facts,
+            metadata=metadata,
             route=route,
             service=service,
-            place=placement(
+            placement=make_placement(
                 route,
                 service,
-                facts.affinity_key,
-                facts.request_id,
-                self._usual_s(route),
+                metadata.affinity_key,
+                metadata.request_id,
+                self._typical_s(route),
                 self._run_s(route),
             ),
-            until=incoming.arrived_at + limit_s,
+            deadline=incoming.arrived_at + limit_s,
         )
 
     async def _serve(self, request: Request) -> OutgoingResponse:
@@ -185,34 +188,34 @@
             reason = "no server may get it"
             if request.overload_s is not None:
                 reason = "overload"
-            return self._refuse(request.facts, reason, request)
+            return self._refuse(request.metadata, reason, request)
         while True:
             done, _ = await asyncio.wait(
                 request.pending,
-                timeout=self._wait_s(request),
+                timeout=self._wait_time_s(request),
                 return_when=asyncio.FIRST_COMPLETED,
             )
             for task in done:
                 send = request.pending.pop(task)
-                response = self._take(request, send, task.result())
+                response = self._handle_result(request, send, task.result())
                 if response is not None:
                     return response
             now = self._loop.time()
-            if now >= request.until:
-                return self._give_up(request, "timeout")
+            if now >= request.deadline:
+                return self._fail(request, "timeout")
             if not request.pending:
-                if not self._send_again(request):
-                    return self._give_up(request, "no further send")
+                if not self._retry(request):
+                    return self._fail(request, "no further send")
             elif not done:
-                self._send_again(request)
+                self._retry(request)
 
-    def _wait_s(self, request: Request) -> float:
+    def _wait_time_s(self, request: Request) -> float:
         """Return the time until the next hedge or the deadline."""
         now = self._loop.time()
-        remaining_s = max(0.0, request.until - now)
+        remaining_s = max(0.0, request.deadline - now)
         hedge_at = request.incoming.arrived_at + max(
-            HEDGE_USUAL_FACTOR * self._usual_s(request.route),
-            HEDGE_OBJECTIVE_PART * request.route.objective_s,
+            HEDGE_LATENCY_FACTOR * self._typical_s(request.route),
+            HEDGE_OBJECTIVE_FRACTION * request.route.objective_s,
         )
         may_hedge = (
             request.route.repeatable
@@ -222,7 +225,7 @@
         )
         return min(remaining_s, hedge_at - now) if may_hedge else remaining_s
 
-    def _send_again(self, request: Request) -> bool:
+    def _retry(self, request: Request) -> bool:
         may_have_run = request.runs > 0
         if may_have_run and not request.route.repeatable:
             return False
@@ -235,7 +238,9 @@
     def _start_send(self, request: Request) -> bool:
         now = self._loop.time()
         spec = self.routes.services.get(request.service)
-        row = self._selector.choose(request.place, spec, request.tried, now)
+        row = self._selector.choose(
+            request.placement, spec, request.tried, now
+        )
         match row:
             case None:
                 return False
@@ -258,16 +263,16 @@
             self._sender.send(
                 row,
                 request.incoming,
-                request.facts,
+                request.metadata,
                 repeatable=request.route.repeatable,
-                until=request.until,
-                usual_s=self._usual_s(request.route),
+                deadline=request.deadline,
+                typical_s=self._typical_s(request.route),
             )
         )
         request.pending[task] = send
         return True
 
-    def _take(
+    def _handle_result(
         self, request: Request, send: Send, result: SendResult
     ) -> OutgoingResponse | None:
         """Return the response if the result completes the request."""
@@ -277,16 +282,16 @@
             return None
         match result.end:
             case Answered() as answer:
-                return self._take_answer(request, send, answer)
+                return self._handle_answer(request, send, answer)
             case _:
                 return None
 
-    def _take_answer(
+    def _handle_answer(
         self, request: Request, send: Send, answer: Answered
     ) -> OutgoingResponse | None:
         if answer.status < 500:
             if answer.status < 300:
-                self._note_time(request, send)
+                self._record_latency(request, send)
             return self._forward(request, send.row, answer)
         request.failure = answer
         if request.route.repeatable:
@@ -297,14 +302,14 @@
         self, request: Request, row: ServerRow | None, answer: Answered
     ) -> OutgoingResponse:
         self._log(
-            request.facts,
+            request.metadata,
             answer.status,
             "forwarded",
             route=request.route.name,
             server=row.server.name if row else None,
             **self._timing(request),
         )
-        self._metrics.note_request(
+        self._metrics.record_request(
             answer.status, self._loop.time() - request.incoming.arrived_at
         )
         headers = end_to_end(list(answer.headers))
@@ -318,28 +323,28 @@
             status=answer.status, headers=headers, body=answer.body
         )
 
-    def _give_up(self, request: Request, reason: str) -> OutgoingResponse:
+    def _fail(self, request: Request, reason: str) -> OutgoingResponse:
         """Respond to a request that no server answered successfully."""
         if request.failure is not None and not request.pending:
             return self._forward(request, None, request.failure)
         if request.runs == 0 and not request.pending:
-            return self._refuse(request.facts, reason, request)
+            return self._refuse(request.metadata, reason, request)
         status = 504 if reason == "timeout" else 502
         self._log(
-            request.facts,
+            request.metadata,
             status,
             reason,
             route=request.route.name,
             **self._timing(request),
         )
-        self._metrics.note_request(
+        self._metrics.record_request(
             status, self._loop.time() - request.incoming.arrived_at
         )
         return OutgoingResponse(status=status, headers=[])
 
     def _refuse(
         self,
-        facts: RequestMetadata,
+        metadata: RequestMetadata,
         reason: str,
         request: Request | None = None,
     ) -> OutgoingResponse:
@@ -347,8 +352,8 @@
         timing = self._timing(request) if request is not None else {}
         wait_s = request.overload_s if request is not None else None
         retry_s = min(RETRY_AFTER_MAX_S, max(RETRY_AFTER_S, wait_s or 0.0))
-        self._log(facts, 503, reason, wait_s=wait_s, **timing)
-        self._metrics.note_request(503, 0.0)
+        self._log(metadata, 503, reason, wait_s=wait_s, **timing)
+        self._metrics.record_request(503, 0.0)
         return OutgoingResponse(
             status=503, headers=[("Retry-After", f"{retry_s:.3g}")]
         )
@@ -364,25 +369,27 @@
             budget = self._budgets[service] = SendBudget(bounds=bounds)
         return budget
 
-    def _usual_s(self, route: Route) -> float:
-        return self._usual.get(route.prefix, route.objective_s / 2)
+    def _typical_s(self, route: Route) -> float:
+        return self._typical_latencies.get(route.prefix, route.objective_s / 2)
 
     def _run_s(self, route: Route) -> float:
-        return self._runs.get(
-            route.prefix, RUN_OBJECTIVE_PART * route.objective_s
+        return self._run_times.get(
+            route.prefix, RUN_OBJECTIVE_FRACTION * route.objective_s
         )
 
-    def _note_time(self, request: Request, send: Send) -> None:
+    def _record_latency(self, request: Request, send: Send) -> None:
         now = self._loop.time()
         route = request.route
-        _smooth(
-            self._usual,
+        _update_average(
+            self._typical_latencies,
             route.prefix,
             now - request.incoming.arrived_at,
-            self._usual_s(route),
+            self._typical_s(route),
         )
         run_s = (now - send.started_at) / send.queue_factor
-        _smooth(self._runs, route.prefix, run_s, self._run_s(route))
+        _update_average(
+            self._run_times, route.prefix, run_s, self._run_s(route)
+        )
 
     def _timing(self, request: Request) -> dict:
         now = self._loop.time()
@@ -395,26 +402,28 @@
         }
 
     def _log(
-        self, facts: RequestMetadata, status: int, reason: str, **extra
+        self, metadata: RequestMetadata, status: int, reason: str, **extra
     ) -> None:
         _LOG.info(
             reason,
-            extra={"id": facts.request_id, "status": status, **extra},
+            extra={"id": metadata.request_id, "status": status, **extra},
         )
 
 
-def may_outlast(stopping: Stopping, route: Route, usual_s: float) -> bool:
+def may_outlast(
+    stopping: StopProgress, route: Route, typical_s: float
+) -> bool:
     """Return whether a request may outlast a stopping instance."""
     needed_s = route.timeout_s + TIMEOUT_SLACK_S
-    if stopping.since_s < STOP_LATE_S:
-        needed_s = min(needed_s, STOP_USUAL_FACTOR * usual_s)
-    return stopping.ends_in_s < needed_s
+    if stopping.elapsed_s < STOP_LATE_S:
+        needed_s = min(needed_s, STOP_LATENCY_FACTOR * typical_s)
+    return stopping.remaining_s < needed_s
 
 
-def _smooth(
-    times: dict[str, float], key: str, took_s: float, before_s: float
+def _update_average(
+    averages: dict[str, float], key: str, sample_s: float, average_s: float
 ) -> None:
     """Update a moving average; a sample is capped at 4 times the average."""
-    times[key] = before_s + USUAL_WEIGHT * (
-        min(took_s, 4 * before_s) - before_s
+    averages[key] = average_s + LATENCY_SAMPLE_WEIGHT * (
+        min(sample_s, 4 * average_s) - average_s
     )
--- a/tests/runtime/test_follower.py
+++ b/tests/runtime/test_follower.py
@@ -72,10 +72,10 @@
 
     def _next(self, name: str) -> Changes:
         self.calls.append(name)
-        answer = self.script.pop(0)
-        if isinstance(answer, Exception):
-            raise answer
-        return answer
+        reply = self.script.pop(0)
+        if isinstance(reply, Exception):
+            raise reply
+        return reply
 
 
 class _Peers:
@@ -102,22 +102,22 @@
             on_change=lambda: None,
         )
 
-    async def _step(self, answer: Changes | Exception) -> None:
+    async def _read_once(self, reply: Changes | Exception) -> None:
         """Run a single store read of the follower."""
-        self.store.script = [answer]
+        self.store.script = [reply]
         try:
             await self.follower._read()
         except (CatalogUnavailable, HistoryCompacted) as exc:
-            self.follower._note_failure(exc)
+            self.follower._record_failure(exc)
 
-    async def _begin(self) -> None:
+    async def _load_catalog(self) -> None:
         records = [
             ("op/config", 2, _STATE),
             ("servers/a", 3, _server("a")),
             ("chiverun/machines/m5", 4, _machine("m5")),
             ("chiverun/machines/m1", 5, _machine("m1")),
         ]
-        await self._step(Changes(items=_items(*records), as_of=5))
+        await self._read_once(Changes(items=_items(*records), as_of=5))
 
     def _receive(self, message) -> None:
         self.follower._receive(edgemessages.encode(message))
@@ -137,18 +137,18 @@
         )
 
     async def test_removal_without_an_outage_is_immediate(self) -> None:
-        await self._begin()
+        await self._load_catalog()
         gone = Changes(items=_items(("servers/a", 6, None)), as_of=6)
-        await self._step(gone)
+        await self._read_once(gone)
         self.assertEqual(self._servers(), [])
 
     async def test_entry_that_expired_in_an_outage_is_kept(self) -> None:
-        await self._begin()
-        await self._step(CatalogUnavailable("down"))
+        await self._load_catalog()
+        await self._read_once(CatalogUnavailable("down"))
         self.follower._read_at -= 5.0
         self.follower.table.relay_heard_at -= 5.0
         gone = Changes(items=_items(("servers/a", 6, None)), as_of=6)
-        await self._step(gone)
+        await self._read_once(gone)
         self.assertEqual(self._servers(), ["a"])
 
     async def test_read_failures_are_no_outage_while_the_relay_works(
@@ -156,33 +156,33 @@
     ) -> None:
         # The store rejects this machine but not the machine that relays, so
         # records removed meanwhile were deleted and did not expire.
-        await self._begin()
-        await self._step(CatalogUnavailable("rejected"))
+        await self._load_catalog()
+        await self._read_once(CatalogUnavailable("rejected"))
         self.follower._read_at -= 9.0
         self._receive(self._update(5, 5, []))
         gone = Changes(items=_items(("servers/a", 6, None)), as_of=6)
-        await self._step(gone)
+        await self._read_once(gone)
         self.assertEqual(self._servers(), [])
 
     async def test_missing_history_triggers_a_full_read(self) -> None:
-        await self._begin()
-        await self._step(HistoryCompacted())
+        await self._load_catalog()
+        await self._read_once(HistoryCompacted())
         listing = [
             ("op/config", 2, _STATE),
             ("chiverun/machines/m5", 4, _machine("m5")),
         ]
-        await self._step(Changes(items=_items(*listing), as_of=9))
+        await self._read_once(Changes(items=_items(*listing), as_of=9))
         self.assertEqual(self.store.calls[-1], "read_all")
         self.assertEqual(self._servers(), [])
 
     async def test_store_loss_is_logged_once(self) -> None:
         for _ in range(3):
-            await self._step(CatalogUnavailable("down"))
+            await self._read_once(CatalogUnavailable("down"))
         lost = [r for r in self.logs.records if r.message == "store lost"]
         self.assertEqual(len(lost), 1)
 
     async def test_missed_update_triggers_a_pull(self) -> None:
-        await self._begin()
+        await self._load_catalog()
         beat = Heartbeat(
             machine=_machine("m1"),
             boot_id="l9",
@@ -201,20 +201,20 @@
     async def test_first_read_is_not_relayed(self) -> None:
         # On a site of 78 machines the full listings relayed at startup made
         # up most of the traffic between zones.
-        await self._begin()
+        await self._load_catalog()
         updates = [m for _, m in self.peers.sent if isinstance(m, Update)]
         self.assertEqual(updates, [])
 
     async def test_reader_relays_changes(self) -> None:
-        await self._begin()
+        await self._load_catalog()
         self.assertTrue(self.follower._must_read())
         gone = Changes(items=_items(("servers/a", 6, None)), as_of=6)
-        await self._step(gone)
+        await self._read_once(gone)
         updates = [m for _, m in self.peers.sent if isinstance(m, Update)]
         self.assertEqual([u.as_of for u in updates], [6])
 
     async def test_pull_is_answered_with_changes_or_a_snapshot(self) -> None:
-        await self._begin()
+        await self._load_catalog()
         self.peers.sent.clear()
         self._receive(Pull(reply_to="10.0.0.9:1", as_of=3))
         self._receive(Pull(reply_to="10.0.0.9:1", as_of=0))
@@ -225,7 +225,7 @@
         self.assertIsInstance(snapshot, Snapshot)
 
     async def test_machine_without_store_starts_from_peers(self) -> None:
-        await self._step(CatalogUnavailable("down"))
+        await self._read_once(CatalogUnavailable("down"))
         self.assertFalse(self.follower.is_current)
         items = _items(
             ("op/config", 2, _STATE), ("servers/a", 3, _server("a"))
@@ -235,7 +235,7 @@
         self.assertEqual(self._servers(), ["a"])
 
     async def test_invalid_peer_messages_are_ignored(self) -> None:
-        await self._begin()
+        await self._load_catalog()
         for payload in (b"", b"\xc1", b"\x81\xa4type\xa1z", b"x" * 99):
             self.follower._receive(payload)
         self.assertEqual(self._servers(), ["a"])
--- a/tests/runtime/test_healthcheck.py
+++ b/tests/runtime/test_healthcheck.py
@@ -68,7 +68,7 @@
         return NotSent(detail="hung")
 
 
-class _List:
+class _InstanceList:
     def __init__(self, names: dict[str, bool] | None) -> None:
         self.names = names
 
@@ -78,7 +78,7 @@
         return frozenset(n for n, leaving in self.names.items() if leaving)
 
 
-def _health(plane, backends=None, instances=None, report=print):
+def _health_check(plane, backends=None, instances=None, report=print):
     return HealthCheck(
         clock=ManualClock(),
         plane=plane,
@@ -100,7 +100,7 @@
             reports.append(event.servers)
             found.set()
 
-        health = _health(_Plane(count), backends, report=report)
+        health = _health_check(_Plane(count), backends, report=report)
         try:
             health.check_servers()
             self.assertTrue(found.wait(_LIMIT_S))
@@ -112,7 +112,7 @@
     def test_hung_server_is_checked_once_at_a_time(self):
         """Guards against threads that pile up waiting for the same server."""
         backends = _Backends("none")
-        health = _health(_Plane(3), backends)
+        health = _health_check(_Plane(3), backends)
         for _ in range(5):
             health.check_servers()
         backends.released.set()
@@ -126,9 +126,9 @@
     def test_only_watchers_read_the_list(self, names, watches, expected):
         """A failed read and servers of other zones are ignored."""
         reports = []
-        health = _health(
+        health = _health_check(
             _Plane(3, watches),
-            instances=_List(names),
+            instances=_InstanceList(names),
             report=lambda event: reports.append(event.servers),
         )
         health.read_list()
@@ -137,8 +137,8 @@
     def test_failed_read_keeps_the_last_list(self):
         """Signs expire, so a draining server would get requests otherwise."""
         reports = []
-        listed = _List({"s-1": True})
-        health = _health(
+        listed = _InstanceList({"s-1": True})
+        health = _health_check(
             _Plane(3),
             instances=listed,
             report=lambda event: reports.append(event.servers),
--- a/tests/runtime/test_hedging.py
+++ b/tests/runtime/test_hedging.py
@@ -192,7 +192,7 @@
         self.assertTrue(self.zone.budget.withdraw())
 
 
-class RaceTest(unittest.TestCase):
+class HedgedRequestTest(unittest.TestCase):
     @params(
         ((RESET, OK), OK),
         ((SHED, OK), OK),
@@ -204,24 +204,24 @@
         """Guards against NOT_RUN for a request of which an attempt ran."""
         gate = threading.Event()
         threads = HedgePool(threads=2)
-        race = threads.start(lambda _: ends[0])
-        race.add(lambda _: gate.wait(5) and ends[1])
-        race.wait(1.0)
+        hedged = threads.start(lambda _: ends[0])
+        hedged.add(lambda _: gate.wait(5) and ends[1])
+        hedged.wait(1.0)
         gate.set()
-        self.assertEqual(expected, race.result())
+        self.assertEqual(expected, hedged.result())
 
     def test_number_of_threads_is_bounded(self):
         gate = threading.Event()
         threads = HedgePool(threads=1)
-        race = threads.start(lambda _: gate.wait(5) and OK)
-        self.assertFalse(race.add(lambda _: OK))
+        hedged = threads.start(lambda _: gate.wait(5) and OK)
+        self.assertFalse(hedged.add(lambda _: OK))
         self.assertIsNone(threads.start(lambda _: OK))
         gate.set()
-        self.assertEqual(OK, race.result())
+        self.assertEqual(OK, hedged.result())
 
     def test_internal_error_is_an_unknown_outcome(self):
         def fail(_):
             raise KeyError("test")
 
-        race = HedgePool(threads=1).start(fail)
-        self.assertIsInstance(race.result(), Reset)
+        hedged = HedgePool(threads=1).start(fail)
+        self.assertIsInstance(hedged.result(), Reset)
--- a/tests/runtime/test_selection.py
+++ b/tests/runtime/test_selection.py
@@ -10,8 +10,8 @@
 from chiverun.core.edgesettings import EdgeBounds
 from chiverun.core.health import ServerHealth
 from chiverun.core.sendbudget import ColdLimit
+from chiverun.runtime.selection import make_placement
 from chiverun.runtime.selection import Overloaded
-from chiverun.runtime.selection import placement
 from chiverun.runtime.selection import Selector
 from chiverun.runtime.servertable import ServerRow
 from chiverun.runtime.servertable import ServerTable
@@ -49,21 +49,21 @@
 def _selector(
     table: ServerTable,
     zone: str,
-    near: tuple[str, ...],
+    other_zones: tuple[str, ...],
     bounds: EdgeBounds | None = None,
 ) -> Selector:
-    """Return a selector in `zone`; `near` are the zones of other machines."""
+    """Return a selector in `zone`; `other_zones` holds other machines'."""
     return Selector(
         table=table,
         region=_REGIONS[zone],
         zone=zone,
         bounds=bounds or EdgeBounds(),
         machines=lambda: {"m"},
-        region_zones=lambda: list(near),
+        region_zones=lambda: list(other_zones),
     )
 
 
-def _place(key: str):
+def _placement(key: str):
     route = Route(
         name="r",
         host="h",
@@ -77,7 +77,7 @@
         sticky=True,
         homes=(),
     )
-    return placement(route, "mill", key, "id", 0.1, 0.1)
+    return make_placement(route, "mill", key, "id", 0.1, 0.1)
 
 
 class ZoneFirstTest(unittest.TestCase):
@@ -86,19 +86,25 @@
         table = _table(a1=4, a2=4, b1=8)
         selector = _selector(table, "a1", ("a2",))
         for i in range(100):
-            row = selector.choose(_place(f"k{i}"), None, set(), _NOW)
+            row = selector.choose(_placement(f"k{i}"), None, set(), _NOW)
             self.assertEqual("a1", row.server.zone)
 
     def test_two_zones_share_the_two_servers_of_a_key(self) -> None:
         """Guards against keys that are cold on twice as many servers."""
         table = _table(a1=4, a2=4, b1=8)
-        one = _selector(table, "a1", ("a2",))
-        two = _selector(table, "a2", ("a1",))
+        first_selector = _selector(table, "a1", ("a2",))
+        second_selector = _selector(table, "a2", ("a1",))
         for i in range(100):
-            first = one.choose(_place(f"k{i}"), None, set(), _NOW)
-            other = two.choose(_place(f"k{i}"), None, set(), _NOW)
+            first = first_selector.choose(
+                _placement(f"k{i}"), None, set(), _NOW
+            )
+            other = second_selector.choose(
+                _placement(f"k{i}"), None, set(), _NOW
+            )
             first.load.in_flight = 5 * first.server.slots
-            spilled = one.choose(_place(f"k{i}"), None, set(), _NOW)
+            spilled = first_selector.choose(
+                _placement(f"k{i}"), None, set(), _NOW
+            )
             first.load.in_flight = 0
             self.assertEqual("a2", other.server.zone)
             self.assertEqual(other, spilled)
@@ -108,9 +114,12 @@
     ) -> None:
         """Guards against zone shares that ignore the servers' capacity."""
         table = _table(a1=4, a2=4, b1=8)
-        many = _selector(table, "a1", ("a1", "a2"))
+        a1_selector = _selector(table, "a1", ("a1", "a2"))
         own = sum(
-            many.choose(_place(f"k{i}"), None, set(), _NOW).server.zone == "a1"
+            a1_selector.choose(
+                _placement(f"k{i}"), None, set(), _NOW
+            ).server.zone
+            == "a1"
             for i in range(1000)
         )
         # Two of three requests arrive in a1, which has half of the slots.
@@ -121,7 +130,7 @@
         table = _table(a2=4, b1=4)
         selector = _selector(table, "a1", ("a2",))
         zones = {
-            selector.choose(_place(f"k{i}"), None, set(), _NOW).server.zone
+            selector.choose(_placement(f"k{i}"), None, set(), _NOW).server.zone
             for i in range(50)
         }
         self.assertIn("a2", zones)
@@ -138,7 +147,7 @@
                 row.load.in_flight = in_flight
 
     def _choose(self, spec: ServiceSpec | None = None):
-        return self.selector.choose(_place("k"), spec, set(), _NOW)
+        return self.selector.choose(_placement("k"), spec, set(), _NOW)
 
     def test_request_that_would_be_late_is_refused(self) -> None:
         """Guards against queueing behind servers that respond too late.
@@ -187,7 +196,7 @@
         self.assertNotIn(third, chosen)
 
     def _server_of(self, key: str) -> ServerRow | None:
-        choice = self.selector.choose(_place(key), None, set(), _NOW)
+        choice = self.selector.choose(_placement(key), None, set(), _NOW)
         return choice if isinstance(choice, ServerRow) else None
 
     def test_idle_server_is_used_before_a_refusal(self) -> None:
--- a/tests/runtime/test_steering.py
+++ b/tests/runtime/test_steering.py
@@ -7,7 +7,7 @@
 from chiverun.core.catalog import Part
 from chiverun.core.catalog import Route
 from chiverun.runtime.steering import may_outlast
-from chiverun.runtime.steering import Stopping
+from chiverun.runtime.steering import StopProgress
 
 _ROUTE = Route(
     name="r",
@@ -36,11 +36,11 @@
         (4.1, 0.9, True),
     )
     def test_stopping_instance_refuses_requests_that_may_outlast_it(
-        self, since_s, ends_in_s, expected
+        self, elapsed_s, remaining_s, expected
     ) -> None:
         """Guards against requests accepted 4 s after SIGTERM and cut at exit.
 
         Found by inzira-race, trouble-2 with seed 44687999556.
         """
-        stopping = Stopping(since_s=since_s, ends_in_s=ends_in_s)
+        stopping = StopProgress(elapsed_s=elapsed_s, remaining_s=remaining_s)
         self.assertEqual(expected, may_outlast(stopping, _ROUTE, 0.2))
