--- a/chiverun/runtime/edge.py
+++ b/chiverun/runtime/edge.py
@@ -36,7 +36,8 @@
 
 _LOG = logbook.Logger("edge")
 
-# Look-up answers that clients have cached expire within this time.
+# Requests are served for at least this time, until the look-up answers that
+# clients have cached expire.
 STOP_SERVE_MIN_S = 3.2
 # Clients have moved to other instances after this time without a request.
 STOP_IDLE_S = 0.5
--- a/chiverun/runtime/follower.py
+++ b/chiverun/runtime/follower.py
@@ -72,7 +72,7 @@
         self._peers = peers
         self._seeds = tuple(seed for seed in seeds if seed != me.peer)
         self._on_change = on_change
-        self._random = random.Random(boot_id)
+        self._rng = random.Random(boot_id)
         self._loop = asyncio.get_running_loop()
         self._reads_store = False
         self._needs_listing = True
@@ -268,10 +268,12 @@
             Pull(reply_to=self._me.peer, as_of=self.replica.as_of)
         )
         by_region: dict[str, list[Address]] = {}
-        near = self.table.live(self._loop.time()) or self.table.region()
-        for machine in [*near, *self.table.others()]:
+        region_machines = (
+            self.table.live(self._loop.time()) or self.table.region()
+        )
+        for machine in [*region_machines, *self.table.others()]:
             by_region.setdefault(machine.region, []).append(machine.peer)
-        addresses = {self._random.choice(rows) for rows in by_region.values()}
+        addresses = {self._rng.choice(rows) for rows in by_region.values()}
         if not addresses:
             addresses = set(self._seeds)
         for address in addresses:
@@ -297,18 +299,18 @@
                     self._apply_listing(message.items, message.as_of, "peer")
                     self._needs_listing = False
 
-    def _handle_heartbeat(self, beat: Heartbeat) -> None:
-        row = self.table.rows.get(beat.machine.name)
+    def _handle_heartbeat(self, heartbeat: Heartbeat) -> None:
+        row = self.table.rows.get(heartbeat.machine.name)
         was_leaving = row is not None and row.beat.leaving
-        is_new = self.table.note_beat(beat, self._loop.time())
-        if is_new or was_leaving != beat.leaving:
+        is_new = self.table.note_beat(heartbeat, self._loop.time())
+        if is_new or was_leaving != heartbeat.leaving:
             self._list_changed = True
             _LOG.info(
                 "machine heard",
                 extra={
-                    "machine": beat.machine.name,
-                    "life": beat.boot_id,
-                    "leaving": beat.leaving,
+                    "machine": heartbeat.machine.name,
+                    "life": heartbeat.boot_id,
+                    "leaving": heartbeat.leaving,
                 },
             )
 
--- a/chiverun/runtime/hedging.py
+++ b/chiverun/runtime/hedging.py
@@ -55,9 +55,9 @@
 class HedgedRequest:
     """Parallel attempts of one request; thread-safe."""
 
-    def __init__(self, threads: HedgePool) -> None:
-        self._threads = threads
-        self._ended = threading.Condition()
+    def __init__(self, pool: HedgePool) -> None:
+        self._pool = pool
+        self._condition = threading.Condition()
         self._cancellations: list[Cancellation] = []
         self._ends: list[ExchangeEnd] = []
 
@@ -70,26 +70,26 @@
             try:
                 end = send(cancellation)
             finally:
-                with self._ended:
+                with self._condition:
                     self._ends.append(end)
-                    self._ended.notify_all()
+                    self._condition.notify_all()
 
-        with self._ended:
+        with self._condition:
             self._cancellations.append(cancellation)
-        if self._threads.submit(run):
+        if self._pool.submit(run):
             return True
-        with self._ended:
+        with self._condition:
             self._cancellations.remove(cancellation)
         return False
 
     def wait(self, seconds: float) -> None:
         """Wait until an attempt has ended or `seconds` have passed."""
-        with self._ended:
-            self._ended.wait_for(lambda: self._ends, seconds)
+        with self._condition:
+            self._condition.wait_for(lambda: self._ends, seconds)
 
     def is_any_finished(self) -> bool:
         """Return whether an attempt has ended."""
-        with self._ended:
+        with self._condition:
             return bool(self._ends)
 
     def result(self) -> ExchangeEnd:
@@ -98,8 +98,8 @@
         Without an answer, an end after which the request may have run takes
         precedence over one that proves that it did not run.
         """
-        with self._ended:
-            self._ended.wait_for(
+        with self._condition:
+            self._condition.wait_for(
                 lambda: (
                     self._answer() is not None
                     or len(self._ends) == len(self._cancellations)
--- a/chiverun/runtime/sending.py
+++ b/chiverun/runtime/sending.py
@@ -87,7 +87,7 @@
         started_at = self._loop.time()
         load_at_selection = _load_at_selection(row, started_at)
         row.load.in_flight += 1
-        row.waiting[number] = started_at
+        row.pending_sends[number] = started_at
         try:
             result = await self._exchange(
                 row, request, metadata, repeatable, deadline
@@ -105,7 +105,7 @@
             raise
         finally:
             row.load.in_flight -= 1
-            del row.waiting[number]
+            del row.pending_sends[number]
         self._record(row, result, request, metadata, started_at, typical_s)
         self._log(
             row, result, request, metadata, started_at, load_at_selection
--- a/chiverun/runtime/servertable.py
+++ b/chiverun/runtime/servertable.py
@@ -42,8 +42,8 @@
     cold_until: float = float("-inf")
     misdirected_until: float = float("-inf")
     is_evacuated: bool = False
-    # Start times of the sends that wait for a response, by send number.
-    waiting: dict[int, float] = dataclasses.field(default_factory=dict)
+    # Start times of the sends in progress, by send number.
+    pending_sends: dict[int, float] = dataclasses.field(default_factory=dict)
     answered_at: float = float("-inf")
     idle: collections.deque[ClientConnection] = dataclasses.field(
         default_factory=collections.deque
@@ -91,9 +91,9 @@
 
     def is_stalled(self, now: float, limit_s: float) -> bool:
         """Return whether the oldest send has waited past the limit."""
-        if not self.waiting:
+        if not self.pending_sends:
             return False
-        oldest = min(self.waiting.values())
+        oldest = min(self.pending_sends.values())
         return now - oldest > limit_s and self.answered_at < oldest
 
 
--- a/chiverun/runtime/steering.py
+++ b/chiverun/runtime/steering.py
@@ -81,7 +81,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class StopProgress:
-    """Time since the stop request and time left until the process exits."""
+    """Time since the stop request and serving time left."""
 
     elapsed_s: float
     remaining_s: float
--- a/tests/runtime/test_follower.py
+++ b/tests/runtime/test_follower.py
@@ -125,7 +125,7 @@
     def _servers(self) -> list[str]:
         return [s.name for s, _ in self.follower.replica.servers()]
 
-    def _update(self, since: int, as_of: int, items, **more) -> Update:
+    def _update(self, since: int, as_of: int, items, **fields) -> Update:
         return Update(
             sender="m1",
             boot_id="l9",
@@ -133,7 +133,7 @@
             as_of=as_of,
             items=items,
             lapse_left_s=0.0,
-            **more,
+            **fields,
         )
 
     async def test_removal_without_an_outage_is_immediate(self) -> None:
--- a/tests/runtime/test_selection.py
+++ b/tests/runtime/test_selection.py
@@ -168,14 +168,14 @@
         """
         self._load(24)
         for row in self.table.rows.values():
-            row.waiting[1] = _NOW - 10.0
+            row.pending_sends[1] = _NOW - 10.0
         self.assertIsInstance(self._choose(), Overloaded)
 
     def test_stalled_servers_with_free_slots_are_used(self) -> None:
         """Guards against refusals when only stalled servers are left."""
         self._load(1)
         for row in self.table.rows.values():
-            row.waiting[1] = _NOW - 10.0
+            row.pending_sends[1] = _NOW - 10.0
         self.assertIsInstance(self._choose(), ServerRow)
 
     def test_queue_within_the_objective_is_not_refused(self) -> None:
