--- a/chiverun/runtime/follower.py
+++ b/chiverun/runtime/follower.py
@@ -75,12 +75,12 @@
         self._rng = random.Random(boot_id)
         self._loop = asyncio.get_running_loop()
         self._reads_store = False
-        self._needs_listing = True
+        self._needs_full_read = True
         self._read_at = self._loop.time()
         self._is_loss_logged = False
         self._lapse_until = float("-inf")
-        self._listed_at = float("-inf")
-        self._list_changed = True
+        self._live_list_sent_at = float("-inf")
+        self._live_list_changed = True
         self._is_relay = False
         self._has_read = False
 
@@ -155,10 +155,10 @@
         return self._is_relay
 
     async def _read(self) -> None:
-        if self._needs_listing:
+        if self._needs_full_read:
             changes = await self._store.read_all()
             self._record_success()
-            self._needs_listing = False
+            self._needs_full_read = False
             self._apply_listing(changes.items, changes.as_of, "store")
         else:
             try:
@@ -170,7 +170,7 @@
                     "store history has expired; reading the full catalog",
                     extra={"as_of": self.replica.as_of},
                 )
-                self._needs_listing = True
+                self._needs_full_read = True
                 raise
             self._record_success()
             self._apply_changes(changes)
@@ -189,7 +189,7 @@
             return
         is_written = await self._store.register(self._me, revision)
         _LOG.info("registered", extra={"written": is_written})
-        self._needs_listing = self._needs_listing or not is_written
+        self._needs_full_read = self._needs_full_read or not is_written
 
     def _record_success(self) -> None:
         outage_s = self.age_s()
@@ -243,9 +243,12 @@
         if not self._is_relay or not since:
             return
         live = None
-        if now - self._listed_at >= LIST_PERIOD_S or self._list_changed:
-            self._listed_at = now
-            self._list_changed = False
+        if (
+            now - self._live_list_sent_at >= LIST_PERIOD_S
+            or self._live_list_changed
+        ):
+            self._live_list_sent_at = now
+            self._live_list_changed = False
             live = [*self.table.heard(now)]
             live += [] if self.leaving else [self._me.name]
         message = edgemessages.encode(
@@ -297,14 +300,14 @@
             case Snapshot():
                 if message.as_of > self.replica.as_of:
                     self._apply_listing(message.items, message.as_of, "peer")
-                    self._needs_listing = False
+                    self._needs_full_read = False
 
     def _handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         row = self.table.rows.get(heartbeat.machine.name)
         was_leaving = row is not None and row.beat.leaving
         is_new = self.table.note_beat(heartbeat, self._loop.time())
         if is_new or was_leaving != heartbeat.leaving:
-            self._list_changed = True
+            self._live_list_changed = True
             _LOG.info(
                 "machine heard",
                 extra={
@@ -339,7 +342,7 @@
         )
         self.replica.as_of = max(self.replica.as_of, update.as_of)
         if self.replica.as_of:
-            self._needs_listing = False
+            self._needs_full_read = False
         self._publish_changes(changed, f"peer {update.sender}")
 
     def _handle_pull(self, pull: Pull) -> None:
--- a/chiverun/runtime/hedging.py
+++ b/chiverun/runtime/hedging.py
@@ -88,7 +88,7 @@
             self._condition.wait_for(lambda: self._ends, seconds)
 
     def is_any_finished(self) -> bool:
-        """Return whether an attempt has ended."""
+        """Return whether at least one attempt has ended."""
         with self._condition:
             return bool(self._ends)
 
--- a/chiverun/runtime/selection.py
+++ b/chiverun/runtime/selection.py
@@ -238,7 +238,8 @@
         if not open_rows and not idle:
             waits = [_wait_s(row, placement, now) for row in preferred]
             return Overloaded(wait_s=min(waits))
-        # Other servers follow for keys whose servers are at the cold limit.
+        # The other open servers are used if those of the key are cold and have
+        # reached their rate limit.
         others = [row for row in responsive if _is_open(row, placement, now)]
         ordered = [*open_rows, *_by_load(idle, now), *_by_load(others, now)]
         return self._first_permitted(ordered, spec, now)
@@ -276,7 +277,7 @@
 
 
 def queue_factor(row: ServerRow, now: float) -> float:
-    """Return the expected slowdown of a request sent now by queueing."""
+    """Return the expected queueing slowdown of a request sent now."""
     slots = row.server.slots
     return 1 + max(0.0, row.load.total(now) - slots + 1) / slots
 
--- a/chiverun/runtime/steering.py
+++ b/chiverun/runtime/steering.py
@@ -54,6 +54,7 @@
 STOP_LATE_S = 2.8
 # Sends per request, including those that did not run.
 SENDS_MAX = 4
+# Weight of a new sample in the moving average of a route's latency.
 LATENCY_SAMPLE_WEIGHT = 0.05
 
 
--- a/tests/runtime/test_follower.py
+++ b/tests/runtime/test_follower.py
@@ -138,8 +138,8 @@
 
     async def test_removal_without_an_outage_is_immediate(self) -> None:
         await self._load_catalog()
-        gone = Changes(items=_items(("servers/a", 6, None)), as_of=6)
-        await self._read_once(gone)
+        removal = Changes(items=_items(("servers/a", 6, None)), as_of=6)
+        await self._read_once(removal)
         self.assertEqual(self._servers(), [])
 
     async def test_entry_that_expired_in_an_outage_is_kept(self) -> None:
@@ -147,8 +147,8 @@
         await self._read_once(CatalogUnavailable("down"))
         self.follower._read_at -= 5.0
         self.follower.table.relay_heard_at -= 5.0
-        gone = Changes(items=_items(("servers/a", 6, None)), as_of=6)
-        await self._read_once(gone)
+        removal = Changes(items=_items(("servers/a", 6, None)), as_of=6)
+        await self._read_once(removal)
         self.assertEqual(self._servers(), ["a"])
 
     async def test_read_failures_are_no_outage_while_the_relay_works(
@@ -160,8 +160,8 @@
         await self._read_once(CatalogUnavailable("rejected"))
         self.follower._read_at -= 9.0
         self._receive(self._update(5, 5, []))
-        gone = Changes(items=_items(("servers/a", 6, None)), as_of=6)
-        await self._read_once(gone)
+        removal = Changes(items=_items(("servers/a", 6, None)), as_of=6)
+        await self._read_once(removal)
         self.assertEqual(self._servers(), [])
 
     async def test_missing_history_triggers_a_full_read(self) -> None:
@@ -208,8 +208,8 @@
     async def test_reader_relays_changes(self) -> None:
         await self._load_catalog()
         self.assertTrue(self.follower._must_read())
-        gone = Changes(items=_items(("servers/a", 6, None)), as_of=6)
-        await self._read_once(gone)
+        removal = Changes(items=_items(("servers/a", 6, None)), as_of=6)
+        await self._read_once(removal)
         updates = [m for _, m in self.peers.sent if isinstance(m, Update)]
         self.assertEqual([u.as_of for u in updates], [6])
 
--- a/tests/runtime/test_healthcheck.py
+++ b/tests/runtime/test_healthcheck.py
@@ -18,7 +18,7 @@
 from tests.core import cap_states
 
 _DRAINING = Answered(status=200, headers=(("X-Shed", "draining"),), body=b"")
-_LIMIT_S = 30.0
+_TIMEOUT_S = 30.0
 
 
 class _Plane:
@@ -63,7 +63,7 @@
         self.calls.append(address)
         if address == self._draining:
             return _DRAINING
-        self.released.wait(_LIMIT_S)
+        self.released.wait(_TIMEOUT_S)
         self.ended += 1
         return NotSent(detail="hung")
 
@@ -103,7 +103,7 @@
         health = _health_check(_Plane(count), backends, report=report)
         try:
             health.check_servers()
-            self.assertTrue(found.wait(_LIMIT_S))
+            self.assertTrue(found.wait(_TIMEOUT_S))
             self.assertEqual(0, backends.ended)
             self.assertEqual([{f"s-{count - 1}"}], reports)
         finally:
--- a/tests/runtime/test_hedging.py
+++ b/tests/runtime/test_hedging.py
@@ -55,7 +55,7 @@
         super().__init__(state(*servers))
         self.clock = SystemClock()
         self.admission = Admission(
-            zone="dar-a", clock=self.clock, rng=_FirstDrawn()
+            zone="dar-a", clock=self.clock, rng=_FixedDraws()
         )
         self.publish()
         self.budget = RetryBudget(start=1.0)
@@ -106,7 +106,7 @@
             web.server_close()
 
 
-class _FirstDrawn:
+class _FixedDraws:
     """Random source that selects the first server, then the second."""
 
     def __init__(self) -> None:
@@ -117,7 +117,7 @@
         return self._draws[1]
 
 
-def _until(condition, seconds: float = 5.0) -> bool:
+def _wait_until(condition, seconds: float = 5.0) -> bool:
     end = time.monotonic() + seconds
     while not condition() and time.monotonic() < end:
         time.sleep(0.005)
@@ -137,10 +137,12 @@
         self.assertIsInstance(attempt.end, Answered)
         self.assertEqual(("s1", "s2"), (attempt.server, attempt.hedge_server))
         self.assertTrue(
-            _until(lambda: self.zone.events("s1") == ["start", "cancel"])
+            _wait_until(lambda: self.zone.events("s1") == ["start", "cancel"])
         )
         # The server closed the connection, which frees its slot immediately.
-        self.assertTrue(_until(lambda: self.zone.admission.in_flight() == 0))
+        self.assertTrue(
+            _wait_until(lambda: self.zone.admission.in_flight() == 0)
+        )
         self.assertFalse(self.zone.admission.seat_in_use(0))
         self.assertEqual(2, self.zone.admission.free_slots()["desk"])
 
@@ -153,7 +155,9 @@
         time.sleep(0.1)
         self.assertEqual(1, self.zone.admission.in_flight())
         self.assertEqual(1, self.zone.admission.free_slots()["desk"])
-        self.assertTrue(_until(lambda: self.zone.admission.in_flight() == 0))
+        self.assertTrue(
+            _wait_until(lambda: self.zone.admission.in_flight() == 0)
+        )
         self.assertEqual(2, self.zone.admission.free_slots()["desk"])
 
     def test_slot_stays_in_use_after_a_reset(self):
@@ -162,7 +166,9 @@
         backend.duration_s = lambda is_long: time.sleep(0.2) or 0.0
         backend.faults["reset_after"] = 1
         self.zone.run()
-        self.assertTrue(_until(lambda: self.zone.admission.in_flight() == 0))
+        self.assertTrue(
+            _wait_until(lambda: self.zone.admission.in_flight() == 0)
+        )
         self.assertEqual(1, self.zone.admission.free_slots()["desk"])
 
     @params(
--- a/tests/runtime/test_selection.py
+++ b/tests/runtime/test_selection.py
@@ -202,9 +202,9 @@
     def test_idle_server_is_used_before_a_refusal(self) -> None:
         """Guards against refusals while the region has free servers."""
         self._load(24)
-        spare = self.table.rows["a2-1"]
-        spare.load.in_flight = 1
-        self.assertIs(spare, self._choose())
+        idle_row = self.table.rows["a2-1"]
+        idle_row.load.in_flight = 1
+        self.assertIs(idle_row, self._choose())
 
     def test_overload_does_not_spill_to_another_region(self) -> None:
         """Guards against a surge of requests that change region."""
