--- a/chiverun/runtime/follower.py
+++ b/chiverun/runtime/follower.py
@@ -1,8 +1,8 @@
-"""Keeps the catalog current: from the store, or from peers without it.
+"""Keeps the catalog replica current, from the store or from peers.
 
-In each region one machine reads the store and relays what changed; the
-others read only when the relay falls silent. A machine that the store turns
-away pulls from peers.
+In each region one machine reads the store and relays changes; the others
+read only when the relay falls silent. A machine whose store reads fail pulls
+changes from peers.
 """
 
 import asyncio
@@ -37,21 +37,21 @@
 
 _LOG = logbook.Logger("catalog")
 
-# Pause between two reads of the store. Servers report all the time, so a
-# watch returns at once; the pause bounds the calls.
+# Pause between store reads. Servers report continuously, so a watch returns
+# immediately; the pause bounds the call rate.
 READ_PAUSE_S = 0.35
 WATCH_WAIT_S = 0.8
-# Period of the lists of live machines in relayed updates.
+# Interval at which relayed updates include the list of live machines.
 LIST_PERIOD_S = 1.0
 RETRY_PAUSE_S = 0.4
-# A shorter gap is no outage in which records can have lapsed: a quiet store
-# is read each 1.2 s.
+# A shorter gap between reads is not an outage in which records can expire: a
+# store without changes is read every 1.2 s.
 OUTAGE_MIN_S = 2.5
 _CHECK_PERIOD_S = 0.1
 
 
 class CatalogFollower:
-    """Owns the replica and the table of peers of one machine."""
+    """Maintains the replica and the peer table of a machine."""
 
     def __init__(
         self,
@@ -75,17 +75,17 @@
         self._rng = random.Random(boot_id)
         self._loop = asyncio.get_running_loop()
         self._reads_store = False
-        self._needs_listing = True
+        self._needs_full_read = True
         self._read_at = self._loop.time()
         self._is_loss_logged = False
         self._lapse_until = float("-inf")
-        self._listed_at = float("-inf")
-        self._list_changed = True
-        self._relays = False
+        self._live_list_sent_at = float("-inf")
+        self._live_list_changed = True
+        self._is_relay = False
         self._has_read = False
 
     def start(self) -> None:
-        """Receive from peers."""
+        """Start receiving messages from peers."""
         self._peers.start(
             lambda payload: self._loop.call_soon_threadsafe(
                 self._receive, payload
@@ -94,17 +94,17 @@
 
     @property
     def is_current(self) -> bool:
-        """Tell whether a desired state is known."""
+        """Whether the replica holds a desired state."""
         return self.replica.desired_state() is not None
 
     def age_s(self) -> float:
-        """Return how long ago the catalog was known to be current."""
+        """Return the time since the catalog was last confirmed as current."""
         return self._loop.time() - max(
             self._read_at, self.table.relay_heard_at
         )
 
     async def follow(self) -> None:
-        """Read the store whenever this machine has to; never returns."""
+        """Read the store while this machine is the reader; never returns."""
         while True:
             if not self._must_read():
                 await asyncio.sleep(_CHECK_PERIOD_S)
@@ -112,24 +112,24 @@
             try:
                 await self._read()
             except (CatalogUnavailable, HistoryCompacted) as exc:
-                self._note_failure(exc)
+                self._record_failure(exc)
                 self._pull()
                 await asyncio.sleep(RETRY_PAUSE_S)
             else:
                 await asyncio.sleep(READ_PAUSE_S)
 
-    async def beat(self) -> None:
-        """Send signs of life and expire old rows; never returns."""
+    async def send_heartbeats_forever(self) -> None:
+        """Send heartbeats and expire old rows; never returns."""
         while True:
-            self.send_beats()
+            self.send_heartbeats()
             dropped = self.replica.expire(self._loop.time())
             if dropped:
                 _LOG.info("lapsed servers dropped", extra={"keys": dropped})
                 self._on_change()
             await asyncio.sleep(BEAT_PERIOD_S)
 
-    def send_beats(self) -> None:
-        """Send one sign of life to the machines that need it."""
+    def send_heartbeats(self) -> None:
+        """Send a heartbeat to the machines that expect it."""
         message = edgemessages.encode(
             Heartbeat(
                 machine=self._me,
@@ -149,17 +149,17 @@
         now = self._loop.time()
         if not self._has_read and not self.is_current:
             return True
-        self._relays = self.table.is_reader(
+        self._is_relay = self.table.is_reader(
             now, self._reads_store
         ) or self.table.is_relay_silent(now)
-        return self._relays
+        return self._is_relay
 
     async def _read(self) -> None:
-        if self._needs_listing:
+        if self._needs_full_read:
             changes = await self._store.read_all()
-            self._note_success()
-            self._needs_listing = False
-            self._take_listing(changes.items, changes.as_of, "store")
+            self._record_success()
+            self._needs_full_read = False
+            self._apply_listing(changes.items, changes.as_of, "store")
         else:
             try:
                 changes = await self._store.changes_since(
@@ -167,43 +167,43 @@
                 )
             except HistoryCompacted:
                 _LOG.warning(
-                    "store forgot its history",
+                    "store history has expired; reading the full catalog",
                     extra={"as_of": self.replica.as_of},
                 )
-                self._needs_listing = True
+                self._needs_full_read = True
                 raise
-            self._note_success()
-            self._take_changes(changes)
+            self._record_success()
+            self._apply_changes(changes)
         await self._register()
 
     async def _register(self) -> None:
-        """Write this machine's record unless it is there as it should be."""
-        known = [
+        """Write this machine's record unless it is already up to date."""
+        own_rows = [
             (row.revision, row.record)
             for row in self.replica.rows.values()
             if isinstance(row.record, Machine)
             and row.record.name == self._me.name
         ]
-        revision, record = known[0] if known else (Revision(0), None)
+        revision, record = own_rows[0] if own_rows else (Revision(0), None)
         if record == self._me or self.leaving:
             return
         is_written = await self._store.register(self._me, revision)
         _LOG.info("registered", extra={"written": is_written})
-        self._needs_listing = self._needs_listing or not is_written
+        self._needs_full_read = self._needs_full_read or not is_written
 
-    def _note_success(self) -> None:
-        away_s = self.age_s()
+    def _record_success(self) -> None:
+        outage_s = self.age_s()
         self._read_at = self._loop.time()
         if not self._reads_store:
-            _LOG.info("store regained", extra={"away_s": round(away_s, 3)})
-        if self._has_read and away_s >= OUTAGE_MIN_S:
-            # Neither own reads nor a relay came through: the store was away.
+            _LOG.info("store regained", extra={"away_s": round(outage_s, 3)})
+        if self._has_read and outage_s >= OUTAGE_MIN_S:
+            # Neither store reads nor a relay succeeded: the store was down.
             self._lapse_until = self._read_at + LAPSE_GRACE_S
         self._has_read = True
         self._reads_store = True
         self._is_loss_logged = False
 
-    def _note_failure(self, exc: Exception) -> None:
+    def _record_failure(self, exc: Exception) -> None:
         if isinstance(exc, HistoryCompacted):
             return
         self._reads_store = False
@@ -211,7 +211,7 @@
             self._is_loss_logged = True
             _LOG.warning("store lost", extra={"reason": str(exc)})
 
-    def _take_listing(
+    def _apply_listing(
         self, items: list[VersionedRecord], as_of: Revision, source: str
     ) -> None:
         since = self.replica.as_of
@@ -221,10 +221,10 @@
             now=self._loop.time(),
             lapse_until=self._lapse_until,
         )
-        self._note_changes(changed, source)
+        self._publish_changes(changed, source)
         self._relay(since, changed)
 
-    def _take_changes(self, changes: Changes) -> None:
+    def _apply_changes(self, changes: Changes) -> None:
         since = self.replica.as_of
         changed = self.replica.apply(
             changes.items,
@@ -232,20 +232,23 @@
             lapse_until=self._lapse_until,
         )
         self.replica.as_of = max(since, changes.as_of)
-        self._note_changes(changed, "store")
+        self._publish_changes(changed, "store")
         self._relay(since, changed)
 
     def _relay(self, since: Revision, changed: list[VersionedRecord]) -> None:
-        """Tell the machines of the region, also that nothing changed."""
+        """Send changes, or that there are none, to the region's machines."""
         now = self._loop.time()
-        # Own reads replace the relay for this machine as well.
+        # This machine's own store reads count as relay messages.
         self.table.relay_heard_at = now
-        if not self._relays or not since:
+        if not self._is_relay or not since:
             return
         live = None
-        if now - self._listed_at >= LIST_PERIOD_S or self._list_changed:
-            self._listed_at = now
-            self._list_changed = False
+        if (
+            now - self._live_list_sent_at >= LIST_PERIOD_S
+            or self._live_list_changed
+        ):
+            self._live_list_sent_at = now
+            self._live_list_changed = False
             live = [*self.table.heard(now)]
             live += [] if self.leaving else [self._me.name]
         message = edgemessages.encode(
@@ -263,13 +266,15 @@
             self._peers.send(machine.peer, message)
 
     def _pull(self) -> None:
-        """Ask a machine of each region for what changed."""
+        """Request changes from a machine in each region."""
         message = edgemessages.encode(
             Pull(reply_to=self._me.peer, as_of=self.replica.as_of)
         )
         by_region: dict[str, list[Address]] = {}
-        near = self.table.live(self._loop.time()) or self.table.region()
-        for machine in [*near, *self.table.others()]:
+        region_machines = (
+            self.table.live(self._loop.time()) or self.table.region()
+        )
+        for machine in [*region_machines, *self.table.others()]:
             by_region.setdefault(machine.region, []).append(machine.peer)
         addresses = {self._rng.choice(rows) for rows in by_region.values()}
         if not addresses:
@@ -281,39 +286,41 @@
         try:
             message = edgemessages.decode(payload)
         except msgspec.MsgspecError as exc:
-            _LOG.warning("message unreadable", extra={"reason": str(exc)})
+            _LOG.warning(
+                "cannot decode peer message", extra={"reason": str(exc)}
+            )
             return
         match message:
             case Heartbeat():
-                self._take_beat(message)
+                self._handle_heartbeat(message)
             case Update():
-                self._take_update(message)
+                self._handle_update(message)
             case Pull():
-                self._answer_pull(message)
+                self._handle_pull(message)
             case Snapshot():
                 if message.as_of > self.replica.as_of:
-                    self._take_listing(message.items, message.as_of, "peer")
-                    self._needs_listing = False
+                    self._apply_listing(message.items, message.as_of, "peer")
+                    self._needs_full_read = False
 
-    def _take_beat(self, beat: Heartbeat) -> None:
-        row = self.table.rows.get(beat.machine.name)
+    def _handle_heartbeat(self, heartbeat: Heartbeat) -> None:
+        row = self.table.rows.get(heartbeat.machine.name)
         was_leaving = row is not None and row.beat.leaving
-        is_new = self.table.note_beat(beat, self._loop.time())
-        if is_new or was_leaving != beat.leaving:
-            self._list_changed = True
+        is_new = self.table.note_beat(heartbeat, self._loop.time())
+        if is_new or was_leaving != heartbeat.leaving:
+            self._live_list_changed = True
             _LOG.info(
                 "machine heard",
                 extra={
-                    "machine": beat.machine.name,
-                    "life": beat.boot_id,
-                    "leaving": beat.leaving,
+                    "machine": heartbeat.machine.name,
+                    "life": heartbeat.boot_id,
+                    "leaving": heartbeat.leaving,
                 },
             )
 
-    def _take_update(self, update: Update) -> None:
+    def _handle_update(self, update: Update) -> None:
         now = self._loop.time()
         if update.since > self.replica.as_of:
-            # Something in between was missed.
+            # An earlier update has been missed.
             row = self.table.rows.get(update.sender)
             if row is not None:
                 self._peers.send(
@@ -335,14 +342,14 @@
         )
         self.replica.as_of = max(self.replica.as_of, update.as_of)
         if self.replica.as_of:
-            self._needs_listing = False
-        self._note_changes(changed, f"peer {update.sender}")
+            self._needs_full_read = False
+        self._publish_changes(changed, f"peer {update.sender}")
 
-    def _answer_pull(self, pull: Pull) -> None:
+    def _handle_pull(self, pull: Pull) -> None:
         if self.replica.as_of <= pull.as_of or not self.is_current:
             return
         if pull.as_of:
-            answer = Update(
+            reply = Update(
                 sender=self._me.name,
                 boot_id=self._boot_id,
                 since=pull.as_of,
@@ -351,12 +358,12 @@
                 lapse_left_s=max(0.0, self._lapse_until - self._loop.time()),
             )
         else:
-            answer = Snapshot(
+            reply = Snapshot(
                 as_of=self.replica.as_of, items=self.replica.listing()
             )
-        self._peers.send(pull.reply_to, edgemessages.encode(answer))
+        self._peers.send(pull.reply_to, edgemessages.encode(reply))
 
-    def _note_changes(
+    def _publish_changes(
         self, changed: list[VersionedRecord], source: str
     ) -> None:
         if not changed:
@@ -369,13 +376,13 @@
                     "key": item.key,
                     "revision": item.revision,
                     "source": source,
-                    **_summary(item),
+                    **_describe(item),
                 },
             )
         self._on_change()
 
 
-def _summary(item: VersionedRecord) -> dict:
+def _describe(item: VersionedRecord) -> dict:
     match item.record:
         case None:
             return {"now": "deleted"}
--- a/chiverun/runtime/hedging.py
+++ b/chiverun/runtime/hedging.py
@@ -1,4 +1,4 @@
-"""Attempts of one request that run side by side; the first answer counts."""
+"""Request hedging: parallel attempts of which the first answer is used."""
 
 import contextvars
 import threading
@@ -17,52 +17,52 @@
 
 
 class HedgePool:
-    """A bounded number of threads for attempts; thread-safe."""
+    """Bounded thread pool for attempts; thread-safe."""
 
     def __init__(self, *, threads: int = HEDGE_THREADS) -> None:
-        self._free = threading.Semaphore(threads)
+        self._free_threads = threading.Semaphore(threads)
         self._pool = ThreadPoolExecutor(
             max_workers=threads, thread_name_prefix="attempt"
         )
 
     def start(self, send: Send) -> "HedgedRequest | None":
-        """Start a race with its first attempt; None if all threads work."""
-        race = HedgedRequest(self)
-        return race if race.add(send) else None
+        """Start the first attempt; return None if no thread is free."""
+        hedged = HedgedRequest(self)
+        return hedged if hedged.add(send) else None
 
     def submit(self, call: Callable[[], None]) -> bool:
-        """Run a call on a thread, if one is free."""
-        if not self._free.acquire(blocking=False):
+        """Run a call on a free thread; return whether there was one."""
+        if not self._free_threads.acquire(blocking=False):
             return False
         context = contextvars.copy_context()
         try:
-            self._pool.submit(self._work, context, call)
+            self._pool.submit(self._run, context, call)
         except RuntimeError:
             # The interpreter is shutting down.
-            self._free.release()
+            self._free_threads.release()
             return False
         return True
 
-    def _work(
+    def _run(
         self, context: contextvars.Context, call: Callable[[], None]
     ) -> None:
         try:
             context.run(call)
         finally:
-            self._free.release()
+            self._free_threads.release()
 
 
 class HedgedRequest:
-    """Attempts of one request; thread-safe."""
+    """Parallel attempts of one request; thread-safe."""
 
-    def __init__(self, threads: HedgePool) -> None:
-        self._threads = threads
-        self._changed = threading.Condition()
+    def __init__(self, pool: HedgePool) -> None:
+        self._pool = pool
+        self._condition = threading.Condition()
         self._cancellations: list[Cancellation] = []
         self._ends: list[ExchangeEnd] = []
 
     def add(self, send: Send) -> bool:
-        """Start an attempt, if a thread is free for it."""
+        """Start an attempt; return whether a thread was free for it."""
         cancellation = Cancellation()
 
         def run() -> None:
@@ -70,44 +70,44 @@
             try:
                 end = send(cancellation)
             finally:
-                with self._changed:
+                with self._condition:
                     self._ends.append(end)
-                    self._changed.notify_all()
+                    self._condition.notify_all()
 
-        with self._changed:
+        with self._condition:
             self._cancellations.append(cancellation)
-        if self._threads.submit(run):
+        if self._pool.submit(run):
             return True
-        with self._changed:
+        with self._condition:
             self._cancellations.remove(cancellation)
         return False
 
     def wait(self, seconds: float) -> None:
-        """Wait until an attempt has ended, at most for a time."""
-        with self._changed:
-            self._changed.wait_for(lambda: self._ends, seconds)
+        """Wait until an attempt has ended or `seconds` have passed."""
+        with self._condition:
+            self._condition.wait_for(lambda: self._ends, seconds)
 
     def is_any_finished(self) -> bool:
-        """Tell whether an attempt has ended."""
-        with self._changed:
+        """Return whether at least one attempt has ended."""
+        with self._condition:
             return bool(self._ends)
 
     def result(self) -> ExchangeEnd:
         """Wait for an answer or the end of all attempts; cancel the rest.
 
-        Without an answer, an end that leaves open whether the request ran
-        counts more than one that proves that it did not.
+        Without an answer, an end after which the request may have run takes
+        precedence over one that proves that it did not run.
         """
-        with self._changed:
-            self._changed.wait_for(
+        with self._condition:
+            self._condition.wait_for(
                 lambda: (
                     self._answer() is not None
                     or len(self._ends) == len(self._cancellations)
                 )
             )
-            is_over = len(self._ends) == len(self._cancellations)
+            is_complete = len(self._ends) == len(self._cancellations)
             result = self._answer() or max(self._ends, key=_may_have_run)
-        if not is_over:
+        if not is_complete:
             for cancellation in self._cancellations:
                 cancellation.cancel()
         return result
--- a/chiverun/runtime/request.py
+++ b/chiverun/runtime/request.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests against the state in force."""
+"""Parses callers' requests against the state in force."""
 
 import dataclasses
 import uuid
@@ -29,14 +29,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ParsedRequest:
-    """A caller's request with what the state says about it."""
+    """A parsed request with its service, class, deadline and regions."""
 
     work: Work
     content: Content
 
 
 class RequestParser:
-    """Finds service, class, deadline and regions of a request."""
+    """Determines service, class, deadline and regions of a request."""
 
     def __init__(
         self,
@@ -52,7 +52,13 @@
         self._blocks = blocks
 
     def read(self, req: IncomingRequest) -> ParsedRequest:
-        """Read a request; raises a 1xx code or NOT_READY."""
+        """Parse a request.
+
+        Raises
+        ------
+        ChiverunError
+            With a 1xx code if the request is invalid, or with NOT_READY.
+        """
         state = self._plane.snapshot.state
         if not req.path.startswith(_PREFIX):
             raise ChiverunError(
@@ -92,12 +98,13 @@
         zone = state.of(Zone).get(self._zone)
         if zone is None:
             raise ChiverunError(
-                ResultCode.NOT_READY, f"zone {self._zone} is in no ticket"
+                ResultCode.NOT_READY,
+                f"zone {self._zone!r} is not in any ticket",
             )
         return zone.region
 
     def _origin(self, req: IncomingRequest, state) -> RegionName | None:
-        """Return the caller's region; a peer that passes it on states it."""
+        """Return the caller's region, from a header if a peer forwards it."""
         table = self._blocks.get(state)
         origin = origin_region(state, table, req.remote)
         stated = RegionName(req.header(ORIGIN_HEADER.lower()))
@@ -108,19 +115,25 @@
     def _deadline(
         self, req: IncomingRequest, request_class: RequestClass
     ) -> float:
-        most_ms = request_class.deadline_ms
-        text = req.header("x-deadline-ms", str(most_ms))
+        max_ms = request_class.deadline_ms
+        text = req.header("x-deadline-ms", str(max_ms))
         is_number = text.isascii() and text.isdigit() and len(text) <= 15
         if not is_number or int(text) == 0:
             raise ChiverunError(
                 ResultCode.DEADLINE_INVALID,
-                f"X-Deadline-Ms is {text!r}; valid: 1 to {most_ms}",
+                f"X-Deadline-Ms is {text!r}; valid: 1 to {max_ms}",
             )
-        return self._clock.monotonic() + min(int(text), most_ms) / 1000.0
+        return self._clock.monotonic() + min(int(text), max_ms) / 1000.0
 
 
 def match_class(service: Service, method: str, path: str) -> RequestClass:
-    """Return the first class that matches; raises CLASS_UNKNOWN."""
+    """Return the first matching class.
+
+    Raises
+    ------
+    ChiverunError
+        With CLASS_UNKNOWN if no class matches.
+    """
     for request_class in service.classes:
         if method in request_class.methods and path.startswith(
             request_class.path_prefix
@@ -129,9 +142,9 @@
     raise ChiverunError(
         ResultCode.CLASS_UNKNOWN,
         f"{method} {path} matches no class of service {service.name}; "
-        f"valid: {', '.join(_rule(c) for c in service.classes)}",
+        f"valid: {', '.join(_describe_class(c) for c in service.classes)}",
     )
 
 
-def _rule(request_class: RequestClass) -> str:
+def _describe_class(request_class: RequestClass) -> str:
     return f"{'|'.join(request_class.methods)} {request_class.path_prefix}"
--- a/tests/runtime/test_healthcheck.py
+++ b/tests/runtime/test_healthcheck.py
@@ -1,4 +1,4 @@
-"""Each sign that a server leaves must be found in time (P6)."""
+"""Tests that each sign of a draining server is detected in time (P6)."""
 
 import threading
 import unittest
@@ -18,7 +18,7 @@
 from tests.core import cap_states
 
 _DRAINING = Answered(status=200, headers=(("X-Shed", "draining"),), body=b"")
-_LIMIT_S = 30.0
+_TIMEOUT_S = 30.0
 
 
 class _Plane:
@@ -51,7 +51,7 @@
 
 
 class _Backends:
-    """All servers hang until released but the last, which drains."""
+    """All servers hang until released, except the draining one."""
 
     def __init__(self, draining: str) -> None:
         self.released = threading.Event()
@@ -63,12 +63,12 @@
         self.calls.append(address)
         if address == self._draining:
             return _DRAINING
-        self.released.wait(_LIMIT_S)
+        self.released.wait(_TIMEOUT_S)
         self.ended += 1
         return NotSent(detail="hung")
 
 
-class _List:
+class _InstanceList:
     def __init__(self, names: dict[str, bool] | None) -> None:
         self.names = names
 
@@ -78,7 +78,7 @@
         return frozenset(n for n, leaving in self.names.items() if leaving)
 
 
-def _health(plane, backends=None, instances=None, report=print):
+def _health_check(plane, backends=None, instances=None, report=print):
     return HealthCheck(
         clock=ManualClock(),
         plane=plane,
@@ -90,8 +90,8 @@
 
 class HealthCheckTest(unittest.TestCase):
     @params(6, 33)
-    def test_hung_servers_hold_up_nothing(self, count):
-        """Checked in turn, 32 hung servers would delay a sign by 16 s."""
+    def test_hung_servers_do_not_delay_other_checks(self, count):
+        """Sequential checks of 32 hung servers would delay a sign by 16 s."""
         backends = _Backends(f"127.0.0.1:{count}")
         found = threading.Event()
         reports = []
@@ -100,19 +100,19 @@
             reports.append(event.servers)
             found.set()
 
-        health = _health(_Plane(count), backends, report=report)
+        health = _health_check(_Plane(count), backends, report=report)
         try:
             health.check_servers()
-            self.assertTrue(found.wait(_LIMIT_S))
+            self.assertTrue(found.wait(_TIMEOUT_S))
             self.assertEqual(0, backends.ended)
             self.assertEqual([{f"s-{count - 1}"}], reports)
         finally:
             backends.released.set()
 
     def test_hung_server_is_checked_once_at_a_time(self):
-        """Each round would add threads that wait for the same server."""
+        """Guards against threads that pile up waiting for the same server."""
         backends = _Backends("none")
-        health = _health(_Plane(3), backends)
+        health = _health_check(_Plane(3), backends)
         for _ in range(5):
             health.check_servers()
         backends.released.set()
@@ -123,22 +123,22 @@
         ({"s-1": True}, False, []),
         (None, True, []),
     )
-    def test_list_is_read_by_watchers(self, names, watches, expected):
-        """A list that fails, or names of other zones, change nothing."""
+    def test_only_watchers_read_the_list(self, names, watches, expected):
+        """A failed read and servers of other zones are ignored."""
         reports = []
-        health = _health(
+        health = _health_check(
             _Plane(3, watches),
-            instances=_List(names),
+            instances=_InstanceList(names),
             report=lambda event: reports.append(event.servers),
         )
         health.read_list()
         self.assertEqual(expected, reports)
 
-    def test_list_that_fails_takes_nothing_back(self):
-        """A sign lapses; the server would get work while the list is down."""
+    def test_failed_read_keeps_the_last_list(self):
+        """Signs expire, so a draining server would get requests otherwise."""
         reports = []
-        listed = _List({"s-1": True})
-        health = _health(
+        listed = _InstanceList({"s-1": True})
+        health = _health_check(
             _Plane(3),
             instances=listed,
             report=lambda event: reports.append(event.servers),
@@ -155,6 +155,6 @@
         (Answered(status=200, headers=(), body=b""), False),
         (NotSent(detail=""), False),
     )
-    def test_signs_of_a_response(self, end, expected):
-        """An overloaded or unreachable server is not a draining one."""
+    def test_draining_responses(self, end, expected):
+        """An overloaded or unreachable server is not draining."""
         self.assertEqual(expected, is_draining(end))
--- a/tests/runtime/test_selection.py
+++ b/tests/runtime/test_selection.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a server."""
+"""Tests of server selection."""
 
 import unittest
 
@@ -10,8 +10,8 @@
 from chiverun.core.edgesettings import EdgeBounds
 from chiverun.core.health import ServerHealth
 from chiverun.core.sendbudget import ColdLimit
+from chiverun.runtime.selection import make_placement
 from chiverun.runtime.selection import Overloaded
-from chiverun.runtime.selection import placement
 from chiverun.runtime.selection import Selector
 from chiverun.runtime.servertable import ServerRow
 from chiverun.runtime.servertable import ServerTable
@@ -21,7 +21,7 @@
 
 
 def _table(**slots_by_zone: int) -> ServerTable:
-    """Return a table with three servers a zone."""
+    """Return a table with three servers per zone."""
     table = ServerTable(machine="m")
     for zone, slots in slots_by_zone.items():
         for number in range(3):
@@ -49,21 +49,21 @@
 def _selector(
     table: ServerTable,
     zone: str,
-    near: tuple[str, ...],
+    other_zones: tuple[str, ...],
     bounds: EdgeBounds | None = None,
 ) -> Selector:
-    """Return the selector of a machine in a zone; `near` are the others'."""
+    """Return a selector in `zone`; `other_zones` holds other machines'."""
     return Selector(
         table=table,
         region=_REGIONS[zone],
         zone=zone,
         bounds=bounds or EdgeBounds(),
         machines=lambda: {"m"},
-        region_zones=lambda: list(near),
+        region_zones=lambda: list(other_zones),
     )
 
 
-def _place(key: str):
+def _placement(key: str):
     route = Route(
         name="r",
         host="h",
@@ -77,28 +77,34 @@
         sticky=True,
         homes=(),
     )
-    return placement(route, "mill", key, "id", 0.1, 0.1)
+    return make_placement(route, "mill", key, "id", 0.1, 0.1)
 
 
 class ZoneFirstTest(unittest.TestCase):
     def test_requests_stay_in_the_zone(self) -> None:
-        """Guards against bytes between zones that no server needs."""
+        """Guards against unnecessary traffic between zones."""
         table = _table(a1=4, a2=4, b1=8)
         selector = _selector(table, "a1", ("a2",))
         for i in range(100):
-            row = selector.choose(_place(f"k{i}"), None, set(), _NOW)
+            row = selector.choose(_placement(f"k{i}"), None, set(), _NOW)
             self.assertEqual("a1", row.server.zone)
 
     def test_two_zones_share_the_two_servers_of_a_key(self) -> None:
-        """Guards against objects that are cold on twice as many servers."""
+        """Guards against keys that are cold on twice as many servers."""
         table = _table(a1=4, a2=4, b1=8)
-        one = _selector(table, "a1", ("a2",))
-        two = _selector(table, "a2", ("a1",))
+        first_selector = _selector(table, "a1", ("a2",))
+        second_selector = _selector(table, "a2", ("a1",))
         for i in range(100):
-            first = one.choose(_place(f"k{i}"), None, set(), _NOW)
-            other = two.choose(_place(f"k{i}"), None, set(), _NOW)
+            first = first_selector.choose(
+                _placement(f"k{i}"), None, set(), _NOW
+            )
+            other = second_selector.choose(
+                _placement(f"k{i}"), None, set(), _NOW
+            )
             first.load.in_flight = 5 * first.server.slots
-            spilled = one.choose(_place(f"k{i}"), None, set(), _NOW)
+            spilled = first_selector.choose(
+                _placement(f"k{i}"), None, set(), _NOW
+            )
             first.load.in_flight = 0
             self.assertEqual("a2", other.server.zone)
             self.assertEqual(other, spilled)
@@ -106,22 +112,25 @@
     def test_zone_with_more_machines_does_not_overload_its_servers(
         self,
     ) -> None:
-        """Guards against load that follows machines and not servers."""
+        """Guards against zone shares that ignore the servers' capacity."""
         table = _table(a1=4, a2=4, b1=8)
-        many = _selector(table, "a1", ("a1", "a2"))
+        a1_selector = _selector(table, "a1", ("a1", "a2"))
         own = sum(
-            many.choose(_place(f"k{i}"), None, set(), _NOW).server.zone == "a1"
+            a1_selector.choose(
+                _placement(f"k{i}"), None, set(), _NOW
+            ).server.zone
+            == "a1"
             for i in range(1000)
         )
         # Two of three requests arrive in a1, which has half of the slots.
         self.assertAlmostEqual(0.75, own / 1000, delta=0.05)
 
     def test_zone_without_servers_uses_the_other(self) -> None:
-        """Guards against refusals after a zone was emptied."""
+        """Guards against refusals after all servers of a zone are gone."""
         table = _table(a2=4, b1=4)
         selector = _selector(table, "a1", ("a2",))
         zones = {
-            selector.choose(_place(f"k{i}"), None, set(), _NOW).server.zone
+            selector.choose(_placement(f"k{i}"), None, set(), _NOW).server.zone
             for i in range(50)
         }
         self.assertIn("a2", zones)
@@ -138,48 +147,46 @@
                 row.load.in_flight = in_flight
 
     def _choose(self, spec: ServiceSpec | None = None):
-        return self.selector.choose(_place("k"), spec, set(), _NOW)
+        return self.selector.choose(_placement("k"), spec, set(), _NOW)
 
-    def test_late_queue_is_refused(self) -> None:
-        """Guards against servers that only answer too late.
+    def test_request_that_would_be_late_is_refused(self) -> None:
+        """Guards against queueing behind servers that respond too late.
 
-        A request of 0.1 s behind 5 rounds of others misses 0.3 s.
+        A request of 0.1 s behind 5 rounds of others misses its 0.3 s.
         """
         self._load(24)
         choice = self._choose()
         self.assertIsInstance(choice, Overloaded)
         self.assertAlmostEqual(0.1 * 21 / 4, choice.wait_s)
 
-    def test_servers_that_all_stall_are_not_loaded_without_bound(
+    def test_load_is_bounded_when_all_servers_stall(
         self,
     ) -> None:
-        """Guards against an overload that is taken for silent servers.
+        """Guards against overload that is mistaken for unresponsive servers.
 
-        When every run is slow, all servers wait for a response longer than
-        usual.
+        If every run is slow, sends to all servers exceed the stall limit.
         """
         self._load(24)
         for row in self.table.rows.values():
-            row.waiting[1] = _NOW - 10.0
+            row.pending_sends[1] = _NOW - 10.0
         self.assertIsInstance(self._choose(), Overloaded)
 
-    def test_stalled_servers_with_room_are_used(self) -> None:
-        """Guards against refusals where only stalled servers are left."""
+    def test_stalled_servers_with_free_slots_are_used(self) -> None:
+        """Guards against refusals when only stalled servers are left."""
         self._load(1)
         for row in self.table.rows.values():
-            row.waiting[1] = _NOW - 10.0
+            row.pending_sends[1] = _NOW - 10.0
         self.assertIsInstance(self._choose(), ServerRow)
 
-    def test_queue_in_time_is_not_refused(self) -> None:
+    def test_queue_within_the_objective_is_not_refused(self) -> None:
         """Guards against refusals while the objective can be met."""
         self._load(7)
         self.assertIsInstance(self._choose(), ServerRow)
 
-    def test_key_stays_while_its_servers_are_in_time(self) -> None:
-        """Guards against objects that are cold on every server of a region.
+    def test_key_stays_on_its_servers_within_the_objective(self) -> None:
+        """Guards against keys that are cold on every server of a region.
 
-        In a burst each spilled request ran cold, so that the work rose with
-        the load.
+        In a burst each request that spilled over ran cold and added load.
         """
         self._load(8)
         third = self.table.rows["a2-1"]
@@ -189,24 +196,24 @@
         self.assertNotIn(third, chosen)
 
     def _server_of(self, key: str) -> ServerRow | None:
-        choice = self.selector.choose(_place(key), None, set(), _NOW)
+        choice = self.selector.choose(_placement(key), None, set(), _NOW)
         return choice if isinstance(choice, ServerRow) else None
 
-    def test_spare_server_is_used_before_a_refusal(self) -> None:
-        """Guards against refusals with free servers in the region."""
+    def test_idle_server_is_used_before_a_refusal(self) -> None:
+        """Guards against refusals while the region has free servers."""
         self._load(24)
-        spare = self.table.rows["a2-1"]
-        spare.load.in_flight = 1
-        self.assertIs(spare, self._choose())
+        idle_row = self.table.rows["a2-1"]
+        idle_row.load.in_flight = 1
+        self.assertIs(idle_row, self._choose())
 
-    def test_overload_moves_nothing_to_another_region(self) -> None:
-        """Guards against a jump of the requests that change the region."""
+    def test_overload_does_not_spill_to_another_region(self) -> None:
+        """Guards against a surge of requests that change region."""
         self._load(24)
         self._load(0, region="b")
         self.assertIsInstance(self._choose(), Overloaded)
 
-    def test_cold_servers_are_no_overload(self) -> None:
-        """Guards against refusals where another region has room."""
+    def test_cold_limit_is_not_overload(self) -> None:
+        """Guards against refusals while another region has capacity."""
         spec = ServiceSpec(
             name="mill",
             health_path="/h",
