--- a/chiverun/runtime/context.py
+++ b/chiverun/runtime/context.py
@@ -1,4 +1,4 @@
-"""What the systems of the control plane run over."""
+"""State and dependencies shared by the systems of the control plane."""
 
 import dataclasses
 import random
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Identity:
-    """Who this instance is."""
+    """Name, zone and addresses of this instance."""
 
     instance: InstanceId
     life: LifeId
@@ -40,7 +40,7 @@
 
 
 class ControlContext:
-    """Tables and surroundings of one instance's control plane.
+    """Tables and dependencies of one instance's control plane.
 
     Parameters
     ----------
@@ -48,11 +48,12 @@
     clock : Clock
     rng : random.Random
     admission : Admission
-        Read for free slots and seats in use; updated with each snapshot.
+        Provides free slots and seats in use; updated with each snapshot.
     send : callable
-        Sends a message to a peer address; loss is allowed.
+        Sends a message to a peer address; the message may be lost.
     submit : callable
-        Hands a job to the store worker, which reports back by `handle`.
+        Queues a job for the store worker; its report is passed to
+        `ControlPlane.handle`.
     """
 
     snapshot: "Snapshot"
--- a/chiverun/runtime/control.py
+++ b/chiverun/runtime/control.py
@@ -1,10 +1,10 @@
 """The control plane of an instance.
 
 `ControlPlane` is the only writer of its tables. Each tick runs the systems
-over them and publishes a snapshot; messages are handled as they come. It
-does no input or output itself: it sends through a callable and hands store
-jobs to another, so that tests drive it with a manual clock. `ControlActor`
-in `runtime.instance` runs it.
+over them and publishes a snapshot; messages are handled on arrival. It
+performs no I/O: messages and store jobs are passed to callables, so that
+tests can run it with a manual clock. `ControlActor` in `runtime.instance`
+runs it.
 """
 
 from typing import Any
@@ -74,7 +74,7 @@
         publishing.publish(self, now)
 
     def receive(self, message: Message) -> None:
-        """Handle a message of a peer."""
+        """Handle a message from a peer."""
         seatsystem.run_pause(self, self.clock.monotonic())
         match message:
             case Ping(sequence=sequence, gossip=content):
@@ -106,7 +106,7 @@
                 gossip.on_marks(self, message)
 
     def handle(self, event: Event) -> None:
-        """Handle a report of the store worker or an order of the instance."""
+        """Handle a report or a command from another thread of this process."""
         seatsystem.run_pause(self, self.clock.monotonic())
         match event:
             case SeatsClaimed():
@@ -133,19 +133,19 @@
 
     @property
     def has_handed_over(self) -> bool:
-        """Whether no seat is left here after `HandOver`."""
+        """Whether all seats have been handed over after `HandOver`."""
         seats = self.seats
         return self.is_handing_over and not (
             seats.held or seats.releasing or seats.transfers or seats.ungiven
         )
 
     def hears_peers(self, now: float, within_s: float) -> bool:
-        """Tell whether a zone peer has acknowledged a ping lately."""
+        """Return whether a peer of the zone has acknowledged a ping lately."""
         return any(
             now - m.acked_at <= within_s
             for m in self.members.in_zone(self.identity.zone)
         )
 
     def is_watcher(self) -> bool:
-        """Tell whether this instance watches the store for its zone."""
+        """Return whether this instance watches the store for its zone."""
         return membersystem.is_watcher(self)
--- a/chiverun/runtime/drainsystem.py
+++ b/chiverun/runtime/drainsystem.py
@@ -1,4 +1,4 @@
-"""Keeps the signs of backend servers that are leaving."""
+"""Table of backend servers that are draining."""
 
 from collections.abc import Collection
 from typing import TYPE_CHECKING
@@ -13,7 +13,7 @@
 
 
 def run_drains(ctx: "ControlContext", now: float) -> None:
-    """Note servers that said they drain; drop old signs."""
+    """Record servers that report draining; remove expired entries."""
     note_drains(ctx, ctx.admission.draining_servers(), now)
     for server, until in list(ctx.drains.until.items()):
         if until <= now:
@@ -23,10 +23,10 @@
 def note_drains(
     ctx: "ControlContext", servers: Collection[ServerName], now: float
 ) -> None:
-    """Note own signs; tell the zone of new ones at once.
+    """Record draining servers and announce new ones to the zone at once.
 
-    In a large zone the turn of a peer to be pinged may come later than the
-    time within which a leaving server gets no more work.
+    In a large zone, a peer's next ping in turn may come after the time within
+    which a draining server must get no more work.
     """
     until = ctx.drains.until
     is_new = any(until.get(s, now) <= now for s in servers)
--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -1,4 +1,4 @@
-"""Requests of callers: keys, placement, attempts."""
+"""Handling of callers' requests: idempotency keys, placement, attempts."""
 
 import dataclasses
 import threading
@@ -65,20 +65,20 @@
     from chiverun.runtime.control import Identity
     from chiverun.runtime.execution import Executor
 
-# Marks a request that an instance passes on to the issuer of its key.
+# Marks a request that has been forwarded to the issuer of its key.
 ISSUER_HEADER = "X-Chiverun-Issuer"
-# Placements that ended with proof that nothing ran may be tried again this
-# often; each takes part of the deadline.
+# Limit of placements per request that may end without running it; each one
+# uses up a part of the deadline.
 PLACEMENTS_MAX = 4
 _NO_SEAT_PAUSE_S = 0.05
-# A repeatable request waits so long at an instance without seats; its caller
-# may know of no other instance yet.
+# Longest wait of a repeatable request at an instance without seats, as its
+# caller may not know another instance yet.
 READ_SEAT_WAIT_S = 0.5
 
 
 @dataclasses.dataclass(kw_only=True)
 class _Progress:
-    """Attempts made so far for one request."""
+    """Remaining attempts and excluded servers of one request."""
 
     attempts_left: int
     placements_left: int = PLACEMENTS_MAX
@@ -142,7 +142,7 @@
         try:
             request = self._reader.read(req)
         except ChiverunError as exc:
-            # An earlier try with the same key may have run.
+            # An earlier request with the same key may have run.
             key = IdempotencyKey(req.header("idempotency-key"))
             outcome = self._keys.outcome(key)
             return error_reply(400, outcome, exc.code, exc.message)
@@ -159,8 +159,9 @@
                 428,
                 Outcome.NOT_RUN,
                 ResultCode.KEY_REQUIRED,
-                f"class {request.work.request_class.name} may not be "
-                "repeated; get an Idempotency-Key by POST /v1/keys",
+                f"class {request.work.request_class.name} is not "
+                "repeatable and needs an Idempotency-Key header; POST "
+                "/v1/keys issues keys",
             )
         parts = parse_key(key)
         if parts is not None and parts.instance != self._me.instance:
@@ -213,19 +214,21 @@
         key: IdempotencyKey,
         instance: InstanceId,
     ) -> Reply:
-        """Pass a request on to the instance that issued its key.
+        """Forward a request to the instance that issued its key.
 
-        Only the issuer may say that it was not run: another attempt with
-        the same key may have reached it before.
+        Only the issuer can report that the request has not run, since an
+        earlier attempt with the same key may have reached it.
         """
         if req.header(ISSUER_HEADER.lower()):
-            # The asking instance has an old address of the issuer.
-            return unknown_key(key, "its issuer has moved")
+            # The forwarding instance has an outdated address of the issuer.
+            return unknown_key(key, "the address of its issuer is outdated")
         issuer = self._issuers.find(instance)
         if issuer is None:
-            return unknown_key(key, "its issuer is not known to be live")
+            return unknown_key(key, "its issuer is not known to be alive")
         if self._pace_request(issuer, request) is not None:
-            return unknown_key(key, "the link to its issuer has no room")
+            return unknown_key(
+                key, "the link to its issuer has no free capacity"
+            )
         headers = backend_headers(req.headers)
         self._name_regions(headers, request.work)
         headers[ISSUER_HEADER] = instance
@@ -247,8 +250,10 @@
         )
         match end:
             case PeerRefused(code=ResultCode.REQUEST_MALFORMED):
-                # It was refused before its key was looked up.
-                return unknown_key(key, "its issuer could not read it")
+                # The issuer rejected the request before it looked up the key.
+                return unknown_key(
+                    key, "its issuer rejected the request as malformed"
+                )
             case Answered() | PeerRefused():
                 return to_reply(make_result(end))
             case _:
@@ -335,7 +340,7 @@
             case Outcome.ANSWERED:
                 return False
             case Outcome.NOT_RUN:
-                # A refusal by admission has been tried everywhere.
+                # After a refusal by admission, all placements have been tried.
                 return attempt.server is not None and self._has_time(request)
             case Outcome.UNKNOWN:
                 progress.may_have_run = True
@@ -351,7 +356,7 @@
         return self._clock.monotonic() < request.work.deadline
 
     def _place(self, request: EntryRequest, progress: _Progress) -> Attempt:
-        """Try the places in order until one takes the request."""
+        """Try the placements in order until one accepts the request."""
         attempt = Attempt(end=PeerRefused(code=ResultCode.NO_CAPACITY))
         for attempt in self._placements(request, progress):
             if not isinstance(attempt.end, PeerRefused):
@@ -394,7 +399,8 @@
                 continue
             yield self._forward(target, request)
         if is_foreign:
-            # It could wait at the head of a queue for the cap of a shift.
+            # A shifted request could block the head of the queue until the
+            # cap of its shift allows it.
             return
         yield self._executor.run(
             work, request.content, excluded, may_wait=True, hedge=hedge
@@ -440,7 +446,7 @@
     def _pace_request(
         self, target: Target, request: EntryRequest
     ) -> Attempt | None:
-        """Wait for the link's rate; return a refusal if it has no room."""
+        """Wait for the link's rate; return a refusal if it is at its cap."""
         work = request.work
         if target.region == work.source_region:
             return None
--- a/chiverun/runtime/execution.py
+++ b/chiverun/runtime/execution.py
@@ -32,7 +32,7 @@
     from chiverun.integrations.telemetry import Telemetry
     from chiverun.runtime.hedging import Race
 
-# Headers of the callers' interface that backend servers do not get.
+# Headers from callers that are not forwarded to backend servers.
 _OWN_HEADERS = frozenset(
     {
         "host",
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Content:
-    """The part of a request that is sent on unchanged."""
+    """The part of a request that is forwarded unchanged."""
 
     method: str
     path: str
@@ -60,9 +60,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Attempt:
-    """How an attempt ended; `server` is None if none was chosen.
+    """The result of an attempt.
 
-    `hedge_server` is where a second attempt went meanwhile, if one was made.
+    `server` is None if no server was chosen. `hedge_server` is the server of
+    the hedged second attempt, if there was one.
     """
 
     end: ExchangeEnd
@@ -72,14 +73,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HedgeTerms:
-    """What a request's other hops leave for a second attempt."""
+    """Attempts and retry budget left for a hedged second attempt."""
 
     attempts_left: int
     budget: "RetryBudget"
 
 
 class Executor:
-    """Admits and runs single attempts on this zone's servers."""
+    """Admits and runs single attempts on servers of this zone."""
 
     def __init__(
         self,
@@ -105,9 +106,9 @@
         may_wait: bool,
         hedge: HedgeTerms | None = None,
     ) -> Attempt:
-        """Run a request once; a refusal is an attempt that was not run.
+        """Run a request once, with a hedged second attempt if allowed.
 
-        With `hedge`, a second attempt on another server may follow.
+        A refusal by admission is returned as an attempt without a server.
         """
         try:
             with self._telemetry.span("admission", service=work.service):
@@ -144,7 +145,7 @@
         )
 
     def expected_wait_s(self, work: "Work") -> float:
-        """Return how long a request would wait for a slot of this zone."""
+        """Return the expected wait for a slot of this zone."""
         return self._admission.expected_wait_s(work)
 
     def _plan(
@@ -166,7 +167,7 @@
         content: Content,
         excluded: frozenset[ServerName],
     ) -> ServerName | None:
-        """Start a second attempt if a slot is free; never wait for one."""
+        """Start a second attempt if a slot is free, without waiting."""
         try:
             grant = self._admission.try_acquire(
                 first.work, excluded | {first.server.name}
@@ -190,9 +191,9 @@
         # The process may have been paused since the grant was made.
         if not self._admission.confirm(grant):
             self._admission.cancel(grant)
-            return NotSent(detail="grant no longer valid")
-        # What an unexpected error leaves behind may have been sent.
-        end: ExchangeEnd = Reset(detail="exchange failed")
+            return NotSent(detail="grant is no longer valid")
+        # After an unexpected error the request may have been sent.
+        end: ExchangeEnd = Reset(detail="exchange raised an unexpected error")
         try:
             with self._telemetry.span("attempt", server=grant.server.name):
                 end = self._backends.exchange(
@@ -236,7 +237,7 @@
 
 
 def _is_cut_off(end: ExchangeEnd) -> bool:
-    """Tell whether a cancellation explains this end."""
+    """Return whether a cancellation can have caused this end."""
     return isinstance(end, NotSent | Reset | TimedOut | Incomplete)
 
 
@@ -248,9 +249,9 @@
 ) -> Outgoing:
     """Return the request to a backend server.
 
-    A kept connection may be closed by the server while a request is written
-    to it, and then nobody knows whether it ran; a request that cannot be
-    repeated goes over a fresh one.
+    A server may close a reused connection while a request is written to it,
+    which leaves the outcome unknown. A request that is not repeatable
+    therefore gets a new connection.
     """
     return Outgoing(
         method=content.method,
@@ -265,7 +266,7 @@
 
 
 def backend_headers(headers: "Mapping[str, str]") -> dict[str, str]:
-    """Return the headers of a request that go on to a backend server."""
+    """Return the request headers that are forwarded to a backend server."""
     return {
         name: value
         for name, value in headers.items()
@@ -276,13 +277,21 @@
 
 
 def epoch_ms(clock: "Clock", deadline: float) -> str:
-    """Return a monotonic deadline as milliseconds of the wall clock."""
+    """Convert a monotonic deadline to milliseconds since the epoch."""
     left_s = deadline - clock.monotonic()
     return str(int((clock.wall() + left_s) * 1000))
 
 
 def deadline_from_epoch(clock: "Clock", text: str) -> float:
-    """Return the monotonic deadline of a wall-clock one; raises ValueError."""
+    """Convert milliseconds since the epoch to a monotonic deadline.
+
+    Raises
+    ------
+    ValueError
+        The text is not a number of milliseconds.
+    """
     if not (text.isascii() and text.isdigit() and len(text) <= 15):
-        raise ValueError(f"deadline is {text!r}; valid: milliseconds")
+        raise ValueError(
+            f"deadline is {text!r}; valid: milliseconds since the epoch"
+        )
     return clock.monotonic() + int(text) / 1000.0 - clock.wall()
--- a/chiverun/runtime/forward.py
+++ b/chiverun/runtime/forward.py
@@ -1,7 +1,8 @@
-"""Requests of peers: admitted at once to this zone's servers, or refused.
+"""Handling of requests that other instances forward to this zone.
 
-A peer's request never waits for a slot here. It waits where it entered, so
-that threads of two instances cannot wait for each other.
+A forwarded request is admitted at once or refused. It queues only at the
+instance where it entered, so that threads of two instances cannot wait for
+each other.
 """
 
 import threading
@@ -71,18 +72,18 @@
         self.in_flight = 0
 
     def refuse_new(self) -> None:
-        """Refuse peers' requests from now on; they try other instances."""
+        """Refuse further requests, which peers then send elsewhere."""
         self._is_refusing = True
 
     def handle(self, req: Incoming) -> Reply:
-        """Run a peer's request once."""
+        """Run a forwarded request once."""
         with self._lock:
             if self._is_refusing:
                 return error_reply(
                     503,
                     Outcome.NOT_RUN,
                     ResultCode.LEAVING,
-                    "this instance is stopping; ask another",
+                    "this instance is stopping; retry at another instance",
                 )
             self.in_flight += 1
         try:
@@ -133,17 +134,19 @@
     def _work(self, req: Incoming) -> Work:
         state = self._plane.snapshot.state
         if self._zone not in state.of(Zone):
-            raise ValueError(f"zone {self._zone!r} is in no ticket")
+            raise ValueError(
+                f"zone {self._zone!r} is not declared by any ticket"
+            )
         name = ServiceName(req.path.removeprefix(_PREFIX).split("/", 1)[0])
         service = state.of(Service).get(name)
         if service is None:
-            raise ValueError(f"service {name!r} is unknown")
+            raise ValueError(f"service {name!r} is not declared by any ticket")
         request_class = _class(service, req.header(CLASS_HEADER.lower()))
         deadline = deadline_from_epoch(
             self._clock, req.header("x-deadline-epoch-ms")
         )
-        # A claimed seat opens after the longest deadline of a class, so no
-        # clock difference may make a deadline longer than that.
+        # A claimed seat opens after the longest deadline of a class. Clock
+        # skew between instances must not make a deadline longer than that.
         latest = self._clock.monotonic() + request_class.deadline_ms / 1000.0
         return Work(
             service=name,
@@ -159,7 +162,9 @@
     for request_class in service.classes:
         if request_class.name == name:
             return request_class
-    raise ValueError(f"class {name!r} of service {service.name} is unknown")
+    raise ValueError(
+        f"class {name!r} is not declared by service {service.name}"
+    )
 
 
 def pace_reply(
@@ -169,10 +174,10 @@
     run: Callable[[], Reply],
     refusal: Outcome = Outcome.NOT_RUN,
 ) -> Reply:
-    """Run a request and delay its response to the rate of the link.
+    """Run a request and delay its response to match the rate of the link.
 
-    Response bytes are reserved before the request runs. A response that is
-    too late for its deadline is not sent over the link.
+    Capacity for the response is reserved before the request runs. A response
+    that would miss its deadline is not sent over the link.
     """
     target = work.source_region
     name = f"{work.service}/{work.request_class.name}"
@@ -187,7 +192,7 @@
             503,
             refusal,
             ResultCode.LINK_CAP,
-            f"link to {target} has no room",
+            f"link to {target} has no free capacity",
         )
     try:
         reply = run()
@@ -203,12 +208,12 @@
         502,
         Outcome.UNKNOWN,
         ResultCode.BACKEND_TIMEOUT,
-        f"the response was too late for the link to {target}",
+        f"the link to {target} cannot carry the response before its deadline",
     )
 
 
 def reply_to_peer(end: ExchangeEnd) -> Reply:
-    """Return the reply that tells a peer how an exchange ended."""
+    """Return the reply that reports the end of an exchange to a peer."""
     classified = classify(end)
     if isinstance(end, Answered):
         return Reply(
--- a/chiverun/runtime/gossip.py
+++ b/chiverun/runtime/gossip.py
@@ -1,4 +1,4 @@
-"""Adverts and gossip: what this instance tells and takes over."""
+"""Exchange of adverts and other gossip with peers."""
 
 from typing import TYPE_CHECKING
 
@@ -23,7 +23,7 @@
 
 
 def make_advert(ctx: "ControlContext") -> Advert:
-    """Make an advert of this instance as it is now."""
+    """Return an advert with the current state of this instance."""
     ctx.sequence += 1
     me = ctx.identity
     return Advert(
@@ -65,7 +65,7 @@
     about: InstanceId | None,
     sequence: int | None = None,
 ) -> None:
-    """Send a ping; sequence 0 marks one that is not a probe."""
+    """Send a ping; with sequence 0, it is not a probe."""
     if sequence is None:
         sequence = ctx.members.sequence
     ctx.send(address, Ping(sequence=sequence, gossip=_gossip(ctx, about)))
@@ -74,7 +74,7 @@
 def ping_numbered(
     ctx: "ControlContext", address: Address, about: InstanceId | None
 ) -> None:
-    """Send a ping with a number of its own, outside of the probing."""
+    """Send a ping with a new sequence number, apart from the probes."""
     ctx.members.sequence += 1
     ping(ctx, address, about)
 
@@ -86,7 +86,7 @@
 
 
 def ping_zone(ctx: "ControlContext") -> None:
-    """Ping all live members of the zone."""
+    """Ping all live members of this zone."""
     for row in ctx.members.live_in_zone(ctx.identity.zone):
         ping_numbered(ctx, row.peer, row.instance)
 
@@ -100,7 +100,7 @@
 
 
 def merge(ctx: "ControlContext", content: Gossip) -> None:
-    """Take over what a ping or an acknowledgement carries."""
+    """Merge the gossip of a ping or an acknowledgement."""
     now = ctx.clock.monotonic()
     zone = ctx.identity.zone
     for advert in (content.sender, *content.adverts):
@@ -122,7 +122,7 @@
 
 
 def has_same_marks(ctx: "ControlContext", content: Gossip) -> bool:
-    """Tell whether the sender knew the same holders of the zone's seats."""
+    """Return whether the sender knew the same holders of the zone's seats."""
     return content.marks_digest == seat_rules.marks_digest(ctx.seats)
 
 
@@ -143,7 +143,7 @@
 def send_marks(
     ctx: "ControlContext", address: Address, marks: tuple[SeatMark, ...]
 ) -> None:
-    """Tell an instance of the zone which holders are known."""
+    """Send known seat holders to an instance of this zone."""
     if marks:
         ctx.send(
             address,
@@ -154,7 +154,7 @@
 
 
 def on_marks(ctx: "ControlContext", message: SeatMarks) -> None:
-    """Take over later holders; answer with those the sender lacks."""
+    """Record later holders; reply with those the sender does not know."""
     if message.zone != ctx.identity.zone:
         return
     for m in message.marks:
@@ -164,7 +164,7 @@
 
 
 def _outlive(ctx: "ControlContext", advert: Advert) -> None:
-    """Rise above the incarnation of an earlier process, if needed."""
+    """Exceed the incarnation of an earlier process of this instance."""
     if advert.incarnation >= ctx.incarnation:
         ctx.incarnation = advert.incarnation + 1
 
@@ -181,5 +181,5 @@
         ticketspread.note_fork(
             ctx,
             f"instance {content.sender.instance} has another ticket "
-            f"{content.number}",
+            f"{content.number} than this instance",
         )
--- a/chiverun/runtime/instance.py
+++ b/chiverun/runtime/instance.py
@@ -1,4 +1,4 @@
-"""Assembles one instance and stops it gracefully."""
+"""Assembly and graceful shutdown of one instance."""
 
 import random
 import secrets
@@ -53,26 +53,29 @@
     from chiverun.core.ids import Address
     from chiverun.core.settings import Settings
 
-# Time for the news that an instance leaves to reach all look-up answers.
+# Time in which all look-up answers come to omit a leaving instance.
 LEAVE_SPREAD_S = 2.0
 LEAVE_TELL_PERIOD_S = 0.5
 HAND_OVER_LIMIT_S = 5.0
 LOOKUP_READ_TIMEOUT_S = 1.0
-# Time to write responses after the longest deadline of any request.
+# Allows responses to be written after the longest request deadline.
 FINISH_MARGIN_S = 5.0
 _POLL_S = 0.05
-# Peers' messages are dropped while the control actor lags this far behind.
+# Messages from peers are dropped while the control actor's queue is longer.
 _MAILBOX_MAX = 2000
 _BACKEND_CONNECTIONS = 16
 _LOG = logbook.Logger("instance")
 
 
 class _Tick:
-    """Asks the control actor to run the systems."""
+    """Message that triggers one run of the control plane's systems."""
 
 
 class ControlActor(pykka.ThreadingActor):
-    """Runs the control plane: the only thread that writes its tables."""
+    """Actor that runs the control plane.
+
+    Its thread is the only one that writes the control plane's tables.
+    """
 
     use_daemon_thread = True
 
@@ -85,8 +88,8 @@
         try:
             self._dispatch(message)
         except Exception:
-            # The actor must outlive a fault in the handling of one message.
-            _LOG.exception("control message failed")
+            # An exception here would end the actor.
+            _LOG.exception("cannot handle control message")
 
     def _dispatch(self, message: _Tick | Message | Event) -> None:
         match message:
@@ -264,10 +267,11 @@
             self._stop()
 
     def _on_signal(self, _number: int, _frame) -> None:
-        """Request a stop; repeated signals change nothing.
+        """Request a stop.
 
-        A handler runs inside whatever the main thread does, another handler
-        included, so it must not take a lock: an Event would deadlock.
+        A signal handler can interrupt any code of the main thread, including
+        another handler, so it must not acquire a lock. Setting a
+        `threading.Event` acquires one and can deadlock.
         """
         self._is_stop_requested = True
 
@@ -282,41 +286,46 @@
         _LOG.info("started", extra={"life": self._identity.life})
 
     def _leave(self) -> None:
-        """Leave look-up answers, finish all requests, give seats away."""
+        """Withdraw from look-ups, finish requests and hand over the seats."""
         _LOG.info("leaving")
         for server in self._servers:
             server.close_connections()
         self._announce_leave(self._cfg.ttl_s + LEAVE_SPREAD_S)
         self._forward.refuse_new()
         if not self._wait(lambda: self._in_flight() == 0, self._finish_s()):
-            _LOG.warning("requests left", extra={"count": self._in_flight()})
+            _LOG.warning(
+                "requests still in flight at shutdown",
+                extra={"count": self._in_flight()},
+            )
         self._tell(HandOver())
         if not self._wait(
             lambda: self._plane.has_handed_over, HAND_OVER_LIMIT_S
         ):
             seats = self._plane.seats
             _LOG.warning(
-                "seats left",
+                "seats not handed over before shutdown",
                 extra={
                     "in_use": sorted(seats.releasing),
                     "not_taken": sorted(seats.transfers),
                 },
             )
         try:
-            # Its queue holds the last change of the seats' record.
+            # The worker's queue holds the last change to the seat record.
             self._worker.stop(block=True, timeout=HAND_OVER_LIMIT_S)
         except pykka.Timeout:
-            _LOG.warning("seat record not written: no answer of the store")
+            _LOG.warning(
+                "cannot write seat record at shutdown: store timed out"
+            )
 
     def _announce_leave(self, seconds: float) -> None:
-        """Tell peers repeatedly, since a message may be lost."""
+        """Announce the shutdown repeatedly, since messages may be lost."""
         until = self._clock.monotonic() + seconds
         while self._clock.monotonic() < until:
             self._tell(Leave())
             time.sleep(LEAVE_TELL_PERIOD_S)
 
     def _finish_s(self) -> float:
-        """Return the time after which no request can be in flight."""
+        """Return the longest time for which requests stay in flight."""
         state = self._plane.snapshot.state
         longest_s = max(longest_deadline_s(state, kind) for kind in Length)
         return longest_s + FINISH_MARGIN_S
@@ -333,10 +342,11 @@
         return self._entry.in_flight + self._forward.in_flight
 
     def _stop(self) -> None:
-        # A signal while the interpreter ends must not change the exit code.
+        # A signal during interpreter shutdown must not change the exit code.
         signal.signal(signal.SIGTERM, signal.SIG_IGN)
         signal.signal(signal.SIGINT, signal.SIG_IGN)
-        # A part that was not started must not keep the others from ending.
+        # Stopping a component that has not been started may raise; the other
+        # components have to be stopped all the same.
         for stop in (
             *(server.stop for server in self._servers),
             self._timer.stop,
@@ -350,7 +360,7 @@
             try:
                 stop()
             except Exception:
-                _LOG.exception("a part did not stop")
+                _LOG.exception("cannot stop component")
         _LOG.info("stopped")
 
     def _tell(self, message: _Tick | Message | Event) -> None:
--- a/chiverun/runtime/membersystem.py
+++ b/chiverun/runtime/membersystem.py
@@ -1,4 +1,4 @@
-"""Probes the members of the zone and pings other zones and seeds."""
+"""Failure detection in the zone, and pings to other zones and seeds."""
 
 from typing import TYPE_CHECKING
 
@@ -15,14 +15,14 @@
     from chiverun.runtime.context import ControlContext
 
 _SEED_PERIOD_S = 1.0
-# All instances ping the same few seeds.
+# Longer, since all instances ping the same few seeds.
 _SEED_KNOWN_PERIOD_S = 5.0
 _START_S = 10.0
 WATCHERS_PER_ZONE = 2
 
 
 def run_members(ctx: "ControlContext", now: float) -> None:
-    """Judge the last probe and send the next pings."""
+    """Evaluate the last probe and send the next pings."""
     membership.expire(ctx.members, ctx.identity.zone, now)
     if membership.needs_indirect(ctx.members, now):
         _ask_indirect(ctx)
@@ -47,7 +47,7 @@
 
 
 def _ping_seed(ctx: "ControlContext", now: float) -> None:
-    """Ping one seed a period, so that a lost zone is found again."""
+    """Ping one seed per period, so that partitioned zones rejoin."""
     known = {m.peer for m in ctx.members.rows.values() if m.is_live}
     is_new = not known or now - ctx.started_at < _START_S
     period_s = _SEED_PERIOD_S if is_new else _SEED_KNOWN_PERIOD_S
@@ -80,7 +80,7 @@
 
 
 def on_ack(ctx: "ControlContext", sequence: int, content: Gossip) -> None:
-    """Note an acknowledgement, and pass it on if it was relayed."""
+    """Record an acknowledgement, and relay it if a peer asked for it."""
     now = ctx.clock.monotonic()
     if 0 < sequence <= ctx.members.sequence:
         membership.note_answer(ctx.members, content.sender, sequence, now)
@@ -101,7 +101,7 @@
 def relay_ping(
     ctx: "ControlContext", sequence: int, sender: Address, target: Address
 ) -> None:
-    """Ping a third instance for a peer."""
+    """Ping a third instance on behalf of a peer."""
     ctx.members.sequence += 1
     own = ctx.members.sequence
     relayed = ctx.members.relayed
@@ -112,10 +112,10 @@
 
 
 def is_watcher(ctx: "ControlContext") -> bool:
-    """Tell whether this instance watches the store for its zone.
+    """Return whether this instance watches the store for its zone.
 
-    The instances with the lowest names do. Two watchers that disagree
-    on the members cost a few reads and nothing else.
+    The instances with the lowest names do. If instances disagree on the
+    members, extra watchers only cost a few reads of the store.
     """
     lower = [
         m
--- a/chiverun/runtime/public.py
+++ b/chiverun/runtime/public.py
@@ -1,4 +1,4 @@
-"""Look-ups, keys, health and status: the handler of the look-up address."""
+"""Handler of the look-up address: look-ups, keys, health and status."""
 
 import re
 import urllib.parse
@@ -46,7 +46,7 @@
         self._blocks = blocks
 
     def handle(self, req: Incoming) -> Reply:
-        """Answer by path; no request here runs on a backend server."""
+        """Handle a request; none of them runs on a backend server."""
         try:
             return self._handle(req)
         except ChiverunError as exc:
@@ -93,7 +93,7 @@
                 503,
                 Outcome.NOT_RUN,
                 ResultCode.NOT_READY,
-                "no instance is known to serve",
+                "no instance is known that can serve requests",
             )
         return json_reply(result)
 
@@ -109,17 +109,17 @@
                 503,
                 Outcome.NOT_RUN,
                 ResultCode.LEAVING,
-                "this instance is stopping; ask another",
+                "this instance is stopping; retry at another instance",
             )
         reasons = self._unready()
         if reasons:
             # A request with such a key would be refused here, and peers that
-            # do not know this instance yet could not tell that it never ran.
+            # do not know this instance yet cannot prove that it never ran.
             return error_reply(
                 503,
                 Outcome.NOT_RUN,
                 ResultCode.NOT_READY,
-                f"{', '.join(reasons)}; ask another instance",
+                f"{', '.join(reasons)}; retry at another instance",
             )
         identity = self._sources.plane.identity
         keys = self._keys.issue(int(text))
@@ -128,7 +128,7 @@
                 503,
                 Outcome.NOT_RUN,
                 ResultCode.NO_CAPACITY,
-                "the key table is full; ask another instance",
+                "the key table is full; retry at another instance",
             )
         return json_reply(
             {
@@ -139,11 +139,17 @@
         )
 
     def _ready(self) -> Reply:
-        """Ready means: can serve, holds confirmed seats, is not leaving."""
+        """Report readiness.
+
+        An instance is ready if it holds confirmed seats, has a ticket in
+        force without a fork, and is not leaving.
+        """
         plane = self._sources.plane
         reasons = self._unready()
         if plane.seats.suspended_at is not None:
-            reasons.append("seats are suspended after a pause")
+            reasons.append(
+                "the seats are suspended after a pause of the process"
+            )
         if plane.is_leaving:
             reasons.append("the instance is leaving")
         if plane.fork:
@@ -154,13 +160,13 @@
         )
 
     def _unready(self) -> list[str]:
-        """Return what a process that has just started still lacks."""
+        """Return why a process that has just started cannot serve yet."""
         plane = self._sources.plane
         reasons = []
         if plane.state.number == 0:
-            reasons.append("no ticket is in force here")
+            reasons.append("no ticket is in force at this instance")
         if not plane.seats.held:
-            reasons.append("no seat is held")
+            reasons.append("this instance holds no seat")
         return reasons
 
 
--- a/chiverun/runtime/seatsystem.py
+++ b/chiverun/runtime/seatsystem.py
@@ -1,4 +1,4 @@
-"""Claims seats, suspends them after a pause and confirms them."""
+"""Claims of seats, and their suspension after a pause of the process."""
 
 from typing import TYPE_CHECKING
 
@@ -25,32 +25,34 @@
     from chiverun.core.seats import SeatRecord
     from chiverun.runtime.context import ControlContext
 
-# Longer than any chain of store time-outs of one job; the job's report was
-# lost if it is not there by then.
+# Longer than the sum of the store time-outs of one job. A report that has not
+# arrived by then is lost.
 _JOB_LIMIT_S = 30.0
-# Claims above the share, of seats that only this instance may claim.
+# Period of claims beyond this instance's share, of seats that no other
+# instance may claim.
 _OWN_CLAIM_PERIOD_S = 5.0
-# Time to hear of a member of the zone before the first claim of a lone one.
+# Time to discover members of the zone before an instance without peers
+# claims seats.
 _START_LISTEN_S = 3.0
 _CONFIRM_PING_S = 0.5
-# An instance that no member of its zone has answered for this long reads
-# the record, since others may take it for dead and claim its seats.
+# An instance without acknowledgements from its zone for this long reads the
+# record, since others may consider it dead and claim its seats.
 _ALONE_S = 2.5
 _ALONE_READ_PERIOD_S = 1.0
-# A watcher compares the record with the holders, in case the store was
-# restored to older data or a writer died.
+# Period at which a watcher compares the record with the holders, in case the
+# store was restored from a backup or a writer died.
 _RECORD_CHECK_PERIOD_S = 5.0
-# For this long after a member was declared dead the watchers read the record
-# more often, since it may be cut off and claim the seats of the others.
+# For this long after a member was declared dead, watchers read the record more
+# often, since the member may be partitioned and claim seats of the others.
 _DEAD_WATCHED_S = 60.0
 _NEWS_PERIOD_S = 0.5
 _LOG = logbook.Logger("control")
 
 
 def run_pause(ctx: "ControlContext", now: float) -> None:
-    """Suspend the seats if the last tick is too long ago.
+    """Suspend the seats if the process has paused since the last tick.
 
-    Runs before anything else is handled, so that nothing that happens
+    Called before each message or event is handled, so that none of those
     between the pause and the next tick can publish or hand over seats.
     """
     last = ctx.ticked_at
@@ -67,13 +69,13 @@
     seats.suspended_sequence = ctx.members.sequence
     seats.is_record_read = False
     seats.confirm_sent_at = float("-inf")
-    # A transfer that did not arrive may have been overtaken by a claim.
+    # Another instance may have claimed a seat whose transfer has not arrived.
     seats.transfers.clear()
     _read_record(ctx, now)
 
 
 def run_seats(ctx: "ControlContext", now: float) -> None:
-    """Run all rules of the seats once."""
+    """Run all steps of seat management once."""
     zone = ctx.state.of(Zone).get(ctx.identity.zone)
     if zone is None:
         ctx.seats.held.clear()
@@ -109,8 +111,10 @@
 
 
 def _tell_news(ctx: "ControlContext", now: float) -> None:
-    """Tell the zone of seats gained lately, so that an earlier holder that
-    was wrongly taken for dead hears of it before they open.
+    """Announce recently gained seats to the zone.
+
+    An earlier holder that was wrongly declared dead has to learn of its loss
+    before the seats open.
     """
     seats = ctx.seats
     if not seats.news or now - seats.news_at < _NEWS_PERIOD_S:
@@ -129,10 +133,10 @@
 
 
 def _confirm_if_proven(ctx: "ControlContext", now: float) -> None:
-    """End the suspension when nothing can have happened to the seats.
+    """End the suspension once the seats are proven to be held still.
 
-    Acknowledgements count only if their pings were sent after the pause:
-    messages that were queued during it show the past.
+    Only acknowledgements of pings sent after the pause count, since messages
+    that were queued during the pause are outdated.
     """
     seats = ctx.seats
     rows = ctx.members.live_in_zone(ctx.identity.zone)
@@ -162,7 +166,7 @@
 
 
 def _sharers(ctx: "ControlContext") -> list[Member]:
-    """Return the other instances that share the zone's seats."""
+    """Return the other instances among which the zone's seats are split."""
     return [
         m
         for m in ctx.members.live_in_zone(ctx.identity.zone)
@@ -202,7 +206,7 @@
 
 
 def _may_claim(ctx: "ControlContext", now: float) -> bool:
-    """Tell whether this instance knows enough of the zone to claim."""
+    """Return whether this instance knows the zone well enough to claim."""
     pending = ctx.seats.claim_pending_since
     if pending is not None and now - pending < _JOB_LIMIT_S:
         return False
@@ -213,7 +217,7 @@
 
 
 def on_claimed(ctx: "ControlContext", report: SeatsClaimed) -> None:
-    """Take over the seats whose claims took effect."""
+    """Hold the seats whose claims have been written."""
     now = ctx.clock.monotonic()
     ctx.seats.claim_pending_since = None
     if report.record is not None:
@@ -285,8 +289,8 @@
         return
     if report.asked_at < since:
         return
-    # Another owner may have claimed from older data of a restored store, so
-    # that its epoch is lower; giving up the seat is always safe.
+    # After a restore of the store, another owner may have claimed a seat with
+    # a lower epoch. Giving up the seat is always safe.
     for seat in [*seats.held, *seats.releasing]:
         owner = report.record.owners.get(seat)
         if owner is not None and owner.life != ctx.identity.life:
@@ -295,7 +299,7 @@
 
 
 def _tell_losers(ctx: "ControlContext") -> None:
-    """Tell members of later holders of the seats that they advertise."""
+    """Inform members that advertise seats with a later holder."""
     for row in ctx.members.live_in_zone(ctx.identity.zone):
         if row.advert is not None:
             claims = tuple(
@@ -307,7 +311,7 @@
 
 
 def _repair_record(ctx: "ControlContext", record: "SeatRecord") -> None:
-    """Write owners that the record lacks; it keeps later epochs."""
+    """Write owners missing from the record; later epochs are kept."""
     owners = {
         seat: seattransfer.own_owner(ctx, held.epoch)
         for seat, held in ctx.seats.held.items()
@@ -327,7 +331,7 @@
 
 
 def _note_record(ctx: "ControlContext", record: "SeatRecord") -> None:
-    """Note owners and marks; unknown owners become members to be probed."""
+    """Record seat owners; add unknown owners as members to be probed."""
     now = ctx.clock.monotonic()
     rows = ctx.members.rows
     lives = {m.life for m in rows.values()}
@@ -341,7 +345,7 @@
         ):
             continue
         lives.add(owner.life)
-        # '~' cannot be part of an instance's name.
+        # '~' is not allowed in names of instances, so the name is unique.
         name = owner.instance
         if name in rows or name == ctx.identity.instance:
             name = InstanceId(f"{owner.instance}~{owner.life}")
--- a/chiverun/runtime/seattransfer.py
+++ b/chiverun/runtime/seattransfer.py
@@ -1,4 +1,4 @@
-"""Hands seats to other instances and takes them over."""
+"""Transfers of seats between instances of a zone."""
 
 from typing import TYPE_CHECKING
 
@@ -26,7 +26,7 @@
 
     from chiverun.runtime.context import ControlContext
 
-# Each piece of news is sent this many times, since messages can be lost.
+# Each gained seat is announced repeatedly, since messages can be lost.
 _NEWS_SENDS = 4
 _WRITE_RETRY_S = 0.5
 _WRITE_LIMIT_S = 30.0
@@ -34,7 +34,7 @@
 
 
 def request_share(ctx: "ControlContext", zone: Zone, now: float) -> None:
-    """Ask one of the richer holders for a part of its seats."""
+    """Request seats from an instance that holds more than this one."""
     if now - ctx.seats.requested_at < seat_rules.REQUEST_PERIOD_S:
         return
     rich = seat_rules.choose_holder(
@@ -55,10 +55,10 @@
 
 
 def on_seat_request(ctx: "ControlContext", message: SeatRequest) -> None:
-    """Release seats to an instance with fewer.
+    """Release seats to an instance that holds fewer.
 
-    The request may be late or repeated: seats that the sender was seen to
-    hold, or that are on the way to it, count as well.
+    The request may be late or repeated, so seats that the sender advertises
+    or that are being transferred to it count as its own.
     """
     row = ctx.members.rows.get(message.instance)
     if row is None or not row.is_live or row.life != message.life:
@@ -71,7 +71,7 @@
         1 for t in seats.transfers.values() if t.life == message.life
     )
     count = len(seats.held) - max(message.held, known) - under_way
-    # Every other seat: neighbouring seats share one server's slots.
+    # Every second seat, since adjacent seats share the slots of one server.
     for seat in sorted(seats.held)[::2][: max(0, count // 2)]:
         _release(ctx, seat, message.instance)
 
@@ -89,7 +89,7 @@
 
 
 def release_all(ctx: "ControlContext") -> None:
-    """Release all seats to the other live instances, evenly."""
+    """Release all seats, evenly split among the other live instances."""
     receivers = _receivers(ctx)
     counts = {m.instance: len(m.advert.seats) for m in receivers}
     for seat in sorted(ctx.seats.held):
@@ -110,7 +110,7 @@
 
 
 def finish_releases(ctx: "ControlContext", now: float) -> None:
-    """Hand over released seats whose work has ended."""
+    """Transfer released seats on which no request is running."""
     given_up = {}
     owners = {}
     for seat, releasing in list(ctx.seats.releasing.items()):
@@ -157,7 +157,7 @@
 
 
 def resend_transfers(ctx: "ControlContext", now: float) -> None:
-    """Repeat transfers until the receiver holds them."""
+    """Resend transfers until their receivers hold the seats."""
     for seat, transfer in list(ctx.seats.transfers.items()):
         row = ctx.members.rows.get(transfer.receiver)
         if (
@@ -203,7 +203,7 @@
 
 
 def on_seat_transfer(ctx: "ControlContext", message: SeatTransfer) -> None:
-    """Take a seat over; a repeated or late message changes nothing."""
+    """Accept a transferred seat; ignore repeated and late messages."""
     zone = ctx.state.of(Zone).get(ctx.identity.zone)
     if message.life != ctx.identity.life or zone is None:
         return
@@ -212,7 +212,7 @@
     age_s = ctx.clock.wall() - message.sent_epoch_ms / 1000.0
     if abs(age_s) > seat_rules.TRANSFER_AGE_MAX_S:
         _LOG.warning(
-            "late seat transfer refused",
+            "rejected late seat transfer",
             extra={"seat": message.seat, "age_s": round(age_s, 3)},
         )
         return
@@ -235,13 +235,13 @@
     )
     gain(ctx, message.seat, message.epoch)
     ctx.send(message.giver, taken)
-    # The giver writes the record too, but may die before it can.
+    # The giver also writes the record, but may die before it does.
     owner = own_owner(ctx, message.epoch)
     queue_write(ctx, {message.seat: owner}, {})
 
 
 def on_seat_taken(ctx: "ControlContext", message: SeatTaken) -> None:
-    """End a transfer whose receiver has the seat."""
+    """End a transfer that its receiver has accepted."""
     transfer = ctx.seats.transfers.get(message.seat)
     if transfer is not None and (transfer.epoch, transfer.life) == (
         message.epoch,
@@ -251,14 +251,14 @@
 
 
 def gain(ctx: "ControlContext", seat: SeatIndex, epoch: int) -> None:
-    """Note a seat that this instance holds from now on."""
+    """Record this instance as the holder of a seat and queue announcements."""
     mark = Mark(epoch, ctx.identity.life)
     seat_rules.note_mark(ctx.seats, seat, mark)
     ctx.seats.news[seat] = _NEWS_SENDS
 
 
 def member_owner(row: Member, epoch: int) -> Owner:
-    """Return a member as the owner of a seat."""
+    """Return the seat record's entry for a member that owns a seat."""
     return Owner(
         instance=row.instance,
         life=row.life,
@@ -269,7 +269,7 @@
 
 
 def own_owner(ctx: "ControlContext", epoch: int) -> Owner:
-    """Return this instance as the owner of a seat."""
+    """Return the seat record's entry for a seat that this instance owns."""
     return Owner(
         instance=ctx.identity.instance,
         life=ctx.identity.life,
@@ -279,7 +279,7 @@
     )
 
 
-# Writes to the store's record.
+# Writes of the seat record.
 
 
 def queue_write(
@@ -287,7 +287,7 @@
     owners: "Mapping[SeatIndex, Owner]",
     given_up: "Mapping[SeatIndex, int]",
 ) -> None:
-    """Keep changes until they are written; later epochs replace earlier."""
+    """Queue changes to the record; a later epoch replaces an earlier one."""
     for seat, owner in owners.items():
         kept = ctx.seats.unwritten.get(seat)
         if kept is None or owner.epoch > kept.epoch:
@@ -296,7 +296,7 @@
 
 
 def flush_writes(ctx: "ControlContext", now: float) -> None:
-    """Submit one job with all kept changes, unless one is under way."""
+    """Submit one job with all queued changes, unless one is pending."""
     seats = ctx.seats
     if not (seats.unwritten or seats.ungiven) or now < seats.write_at:
         return
@@ -310,7 +310,7 @@
 
 
 def on_seats_written(ctx: "ControlContext", report: SeatsWritten) -> None:
-    """Forget what was written; the rest is written later."""
+    """Remove written changes from the queue."""
     seats = ctx.seats
     seats.write_pending_since = None
     if not report.is_done:
--- a/chiverun/runtime/status.py
+++ b/chiverun/runtime/status.py
@@ -1,4 +1,4 @@
-"""The status of an instance, as shown to operators."""
+"""Status of an instance for operators."""
 
 import dataclasses
 from typing import TYPE_CHECKING
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Sources:
-    """The parts that a status is read from."""
+    """Components from which a status is collected."""
 
     clock: "Clock"
     plane: "ControlPlane"
@@ -27,7 +27,7 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Another instance; `age_s` is the age of what is known of it."""
+    """Status of another instance; `age_s` is the age of its last advert."""
 
     instance: str
     zone: str
@@ -40,9 +40,9 @@
 class Status(msgspec.Struct, frozen=True, kw_only=True):
     """Status of one instance.
 
-    `room` is the number of free slots by service, `links` the free part of
-    each link's portion, `in_force_s` the time since the ticket came in force
-    here.
+    `room` is the number of free slots by service, `links` the unused fraction
+    of this instance's portion of each link, and `in_force_s` the time since
+    the ticket took effect at this instance.
     """
 
     instance: str
@@ -66,7 +66,7 @@
 
 
 def make_status(sources: Sources) -> Status:
-    """Return the present status."""
+    """Return the current status."""
     plane = sources.plane
     now = sources.clock.monotonic()
     held = dict(plane.seats.held)
--- a/chiverun/runtime/storeworker.py
+++ b/chiverun/runtime/storeworker.py
@@ -1,4 +1,4 @@
-"""Blocking calls to the platform's store, off the control plane's thread."""
+"""Blocking calls to the platform's store, outside the control thread."""
 
 import random
 import threading
@@ -43,14 +43,15 @@
 
 WATCH_S = 10.0
 POLL_S = 5.0
-# An instance that hears its peers learns of tickets from them. At 4,656
-# daemons that do not watch, a poll every 5 s is 931 reads/s of the store.
+# Longer for instances that also get tickets from peers: a poll every 5 s by
+# 4,656 instances that do not watch would be 931 reads/s of the store.
 POLL_WITH_PEERS_S = 15.0
 _HEARD_S = 3.0
 _RECHECK_S = 1.0
-# 144 watchers of 72 zones read an empty store 144 times a second in all.
+# With this pause, 144 watchers of 72 zones read an empty store 144 times a
+# second in total.
 _NO_HEAD_PAUSE_S = 1.0
-# Each check reads up to 70 keys: 34 reads a second from 144 watchers.
+# Each check reads up to 70 keys; 144 watchers cause 34 reads/s in total.
 MEND_PERIOD_S = 300.0
 _PAUSE_MIN_S = 0.2
 _PAUSE_MAX_S = 2.0
@@ -73,8 +74,8 @@
         Raises
         ------
         StoreUnavailable
-            The store did not answer, or the record is malformed; an empty
-            record in its place would free the seats of live holders.
+            The store did not respond, or the record is malformed. Treating
+            a malformed record as empty would free seats of live holders.
         """
         item = self._store.get(self._key)
         if item is None:
@@ -88,7 +89,7 @@
         return record, item.index
 
     def claim(self, job: ClaimSeats) -> tuple[list[Claim], SeatRecord]:
-        """Claim what the job's plan allows; return what took effect."""
+        """Claim seats by the job's plan; return the written claims."""
         record, index = self.read()
         for _ in range(_SWAP_ATTEMPTS):
             claims = select_claims(record, job.plan, job.me)
@@ -107,7 +108,7 @@
         return [], record
 
     def write(self, job: WriteSeats) -> None:
-        """Write owners and give up seats; later epochs are kept.
+        """Write owners and releases of seats; later epochs are kept.
 
         Raises
         ------
@@ -121,10 +122,15 @@
                 wanted = without_owner(wanted, seat, epoch)
             if wanted == record or self._swap(wanted, index):
                 return
-        raise StoreUnavailable(f"{self._key}: swapped by others")
+        raise StoreUnavailable(
+            f"cannot write {self._key}: too many concurrent writes"
+        )
 
     def _swap(self, record: SeatRecord, index: int) -> bool:
-        """Swap; a lost answer counts as False, and the caller re-reads."""
+        """Write the record if its index is unchanged.
+
+        A lost response counts as False; the caller reads the record again.
+        """
         data = msgspec.msgpack.encode(record)
         try:
             return self._store.put(self._key, data, cas=index)
@@ -150,14 +156,14 @@
         try:
             report = run_job(self._records, message)
         except Exception:
-            # An exception would end the actor, and with it all claims.
-            _LOG.exception("store job failed")
+            # An exception here would end the actor, and no claim would run.
+            _LOG.exception("cannot run store job")
             report = failed_report(message)
         self._report(report)
 
 
 def run_job(records: SeatRecords, job: StoreJob) -> StoreReport:
-    """Run a job and return its report, also when the store is down."""
+    """Run a job and return its report, also if the store is unavailable."""
     try:
         match job:
             case ClaimSeats():
@@ -170,12 +176,12 @@
                 records.write(job)
                 return SeatsWritten(is_done=True, job=job)
     except StoreUnavailable as exc:
-        _LOG.warning("seat record", extra={"e": str(exc)})
+        _LOG.warning("cannot access seat record", extra={"e": str(exc)})
         return failed_report(job)
 
 
 def failed_report(job: StoreJob) -> StoreReport:
-    """Return the report of a job that the store did not take."""
+    """Return the report of a job that has failed."""
     match job:
         case ClaimSeats():
             return SeatsClaimed(claims=(), record=None)
@@ -188,8 +194,8 @@
 class HeadWatch:
     """Follows the head of the ticket log on a thread.
 
-    A watcher of its zone waits on the head; any other instance polls it
-    only as a fallback, since its peers tell it of new tickets.
+    A watcher of its zone uses blocking reads. Any other instance polls the
+    head only as a fallback, since peers announce new tickets to it.
     """
 
     def __init__(
@@ -210,18 +216,18 @@
         self._pause_s = _PAUSE_MIN_S
         self._read_at = float("-inf")
         self.is_reachable = False
-        # Why what the store holds cannot be used, for the status.
+        # Why the store's data cannot be used; shown in the status.
         self.fault: str | None = None
         self._thread = threading.Thread(
             target=self._run, daemon=True, name="head-watch"
         )
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End after the present call to the store."""
+        """Stop the thread after its current call to the store."""
         self._stopping.set()
 
     def _run(self) -> None:
@@ -236,9 +242,13 @@
         Returns
         -------
         tuple of int and float
-            The index to wait on next (0: read at once) and the pause before
-            it in seconds. No exception leaves this method: the thread must
-            outlive whatever the store holds.
+            The index to pass next (0 to read without blocking) and the pause
+            before that in seconds.
+
+        Notes
+        -----
+        No exception is raised, as malformed data in the store must not end
+        the thread.
         """
         if self._may_rely_on_peers():
             return 0, _RECHECK_S
@@ -262,7 +272,7 @@
         return index, 0.0 if index else _NO_HEAD_PAUSE_S
 
     def _may_rely_on_peers(self) -> bool:
-        """Tell whether the next fallback poll is not due yet."""
+        """Return whether the next fallback poll is not due yet."""
         now = self._plane.clock.monotonic()
         return (
             now - self._read_at < POLL_WITH_PEERS_S
@@ -281,14 +291,14 @@
             return
         self.fault = reason
         if not isinstance(exc, ChiverunError):
-            _LOG.exception("following the head failed")
+            _LOG.exception("cannot follow the head of the ticket log")
             return
-        _LOG.error("ticket log", extra={"e": reason})
+        _LOG.error("cannot use ticket log in store", extra={"e": reason})
         if exc.code is ResultCode.TICKET_FORK:
             self._report(HeadForked(reason=reason))
 
     def _follow(self, index: int) -> int:
-        """Read or await the head once; return the index to wait on."""
+        """Read the head once, or wait for a change; return its index."""
         wait_s = WATCH_S if index and self._plane.is_watcher() else 0.0
         head = self._log.head(index=index if wait_s else 0, wait_s=wait_s)
         state = self._plane.state
@@ -317,9 +327,10 @@
             self._report(EntriesRead(entries=tuple(entries)))
 
     def _repair(self, number: int) -> None:
-        """Bring a store with older data forward, if it stays behind."""
+        """Write missing tickets to a store that stays behind."""
         if self._behind_since_number != number:
-            # Of several instances that see it, the first one repairs it.
+            # A random wait, so that one of several instances repairs the store
+            # first.
             self._behind_since_number = number
             self._stopping.wait(self._rng.uniform(0.5, 1.5))
             return
@@ -327,15 +338,15 @@
             return
         if self._log.repair(self._plane.state, self._plane.recent.entries()):
             _LOG.warning(
-                "store repaired",
+                "wrote missing tickets to store",
                 extra={"from": number, "to": self._plane.state.number},
             )
 
     def _mend(self, state: "State") -> None:
-        """Check from time to time that the log behind the head loads."""
+        """Check periodically that the whole log can be loaded."""
         now = time.monotonic()
         if now < self._mend_at or not self._plane.is_watcher():
             return
         self._mend_at = now + MEND_PERIOD_S * self._rng.uniform(0.8, 1.2)
         if self._log.mend(state):
-            _LOG.warning("base in the store replaced")
+            _LOG.warning("replaced unusable base state in store")
--- a/chiverun/runtime/ticketspread.py
+++ b/chiverun/runtime/ticketspread.py
@@ -1,4 +1,4 @@
-"""Applies accepted tickets and passes them between instances."""
+"""Application of accepted tickets and their spread between instances."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
@@ -27,16 +27,16 @@
 
 
 def note_fork(ctx: "ControlContext", reason: str) -> None:
-    """Keep the reason of a fork and raise the alarm once."""
+    """Record the reason of a fork and log it once."""
     if ctx.fork != reason:
         ctx.fork = reason
-        _LOG.critical("ticket fork", extra={"reason": reason})
+        _LOG.critical("ticket history has forked", extra={"reason": reason})
 
 
 def pull_if_behind(
     ctx: "ControlContext", sender: Address, number: int
 ) -> None:
-    """Ask a peer for tickets if it has newer ones."""
+    """Request tickets from a peer that has newer ones."""
     own = ctx.state.number
     now = ctx.clock.monotonic()
     if ctx.pulls.allows(sender=sender, offered=number, own=own, now=now):
@@ -44,7 +44,7 @@
 
 
 def on_pull(ctx: "ControlContext", sender: Address, number: int) -> None:
-    """Send the tickets or the state that a peer asks for."""
+    """Send a peer the tickets that it lacks, or the whole state."""
     if number >= ctx.state.number:
         return
     batches = dissemination.entries_after(ctx.recent.entries(), number)
@@ -57,7 +57,7 @@
 
 
 def on_chunk(ctx: "ControlContext", chunk: StateChunk) -> None:
-    """Collect a part of a state; adopt it when complete."""
+    """Collect a chunk of a state; adopt the state once complete."""
     if chunk.number <= ctx.state.number:
         return
     ctx.chunks = dissemination.merge_chunk(ctx.chunks, chunk)
@@ -68,11 +68,11 @@
     try:
         adopt_state(ctx, decode_state(b"".join(parts)))
     except ChiverunError as exc:
-        _LOG.error("state of a peer is malformed", extra={"e": str(exc)})
+        _LOG.error("rejected malformed state from peer", extra={"e": str(exc)})
 
 
 def apply_entries(ctx: "ControlContext", entries: Iterable[Entry]) -> None:
-    """Apply tickets that follow; others are skipped."""
+    """Apply tickets that continue the history; skip others."""
     before = ctx.state
     for entry in entries:
         if entry.number != ctx.state.number + 1:
@@ -88,7 +88,7 @@
 
 
 def adopt_state(ctx: "ControlContext", state: State) -> None:
-    """Take over a whole state, only if it is newer and continues."""
+    """Adopt a whole state if it is newer and continues the history."""
     before = ctx.state
     if state.number <= before.number:
         return
@@ -97,11 +97,14 @@
         note_fork(
             ctx,
             f"a state of ticket {state.number} has another ticket "
-            f"{before.number}",
+            f"{before.number} than this instance",
         )
         return
     if continues is None:
-        _LOG.warning("history not comparable", extra={"from": before.number})
+        _LOG.warning(
+            "adopted state without comparing its history",
+            extra={"from": before.number},
+        )
     ctx.state = state
     ctx.recent.clear()
     _after_advance(ctx, before)
@@ -111,7 +114,7 @@
     if ctx.state.number == before.number:
         return
     now = ctx.clock.monotonic()
-    # Raised again by the next exchange if the other history is still met.
+    # Set again by the next exchange with a peer that has the other history.
     ctx.fork = None
     seat_rules.note_old_classes(
         ctx.seats, before, ctx.state, ctx.identity.zone, now
--- a/tests/runtime/test_drains.py
+++ b/tests/runtime/test_drains.py
@@ -1,4 +1,4 @@
-"""What an instance does with the signs of a leaving server (P6, P7)."""
+"""Tests that a draining server or instance gets no new work (P6, P7)."""
 
 import random
 import unittest
@@ -141,14 +141,14 @@
 
     @params("report", "peer", "shed", "ticket")
     def test_one_sign_alone_stops_new_work(self, kind):
-        """Waiting for the lagging list alone takes longer than 3 s."""
+        """Guards against waiting for the instance list, which lags by 3 s."""
         self._sign(kind)
         self._pass(0.1)
         self.assertEqual(0, self._admitted())
 
     @params("report", "shed")
     def test_new_sign_is_told_to_the_zone_at_once(self, kind):
-        """In turn, the last of 67 peers would be pinged after a minute."""
+        """Guards against gossip in turn, a minute for the last of 67 peers."""
         self._sign(kind)
         self._pass(0.1)
         told = {a for a, m in self.sent if m.gossip.draining}
@@ -159,7 +159,10 @@
 
     @params("report", "peer", "shed", "ticket")
     def test_returning_server_starts_slowly(self, kind):
-        """It is cold; before, only its own response led to a slow start."""
+        """Guards against full load on a cold server that has returned.
+
+        Its slow start used to depend on its own draining response.
+        """
         self._sign(kind)
         self._pass(0.1)
         if kind == "ticket":
@@ -174,7 +177,7 @@
         self.assertGreaterEqual(self._admitted(), 6)
 
     def test_leave_is_told_to_every_zone(self):
-        """Other zones would forward and list it until gossip reached them."""
+        """Guards against zones that use the instance until gossip arrives."""
         self.plane.handle(Leave())
         told = [a for a, m in self.sent if m.gossip.sender.leaving]
         for zone, count in (("b1", 2), ("a1", 3), ("c1", 3)):
--- a/tests/runtime/test_entry.py
+++ b/tests/runtime/test_entry.py
@@ -1,4 +1,4 @@
-"""Tests of the request path for callers, with other parts replaced."""
+"""Tests of the request path for callers, with simulated components."""
 
 import contextlib
 import types
@@ -55,7 +55,7 @@
 
 
 class _Telemetry:
-    """Counts nothing."""
+    """Stand-in for telemetry that records nothing."""
 
     def __init__(self) -> None:
         meter = types.SimpleNamespace(
@@ -72,7 +72,7 @@
 
 
 class _Script:
-    """Ends each call as listed; the last one holds for all that follow."""
+    """Stand-in that returns the given ends in order, then repeats the last."""
 
     def __init__(self, *ends) -> None:
         self.ends = list(ends)
@@ -176,7 +176,7 @@
         (_OK, "answered", 1),
     )
     def test_write_runs_at_most_once(self, end, outcome, calls):
-        """Guards against another attempt after one that may have run."""
+        """Guards against a retry after an attempt that may have run."""
         script = _Script(end)
         entry = self._entry(script)
         (key,) = self.keys.issue(1)
@@ -188,7 +188,7 @@
             self.assertEqual(calls, len(script.calls))
 
     def test_unknown_read_then_refused_is_unknown(self):
-        """Guards against "not run" by the last of several attempts."""
+        """Guards against "not run" if only the last attempt has not run."""
         refused = PeerRefused(code=ResultCode.NO_CAPACITY)
         entry = self._entry(_Script(Reset(detail=""), refused))
         self.assertEqual("unknown", self._send(entry, method="GET")[0])
@@ -204,7 +204,7 @@
         self.assertEqual(1, len(script.calls))
 
     def test_request_ids_differ(self):
-        """Guards against two requests that compare equal ids."""
+        """Guards against responses matched to a wrong request."""
         script = _Script(_OK)
         entry = self._entry(script)
         for _ in range(1000):
@@ -220,7 +220,10 @@
         (Mismatched(request_id="x"), "unknown"),
     )
     def test_key_of_another_instance(self, end, outcome):
-        """Guards against running or judging what only the issuer knows."""
+        """Guards against running a request whose key another instance issued.
+
+        Only the issuer knows whether it has run.
+        """
         self.peer_calls = _Script(end)
         script = _Script(_OK)
         entry = self._entry(script, peers=("a-2",))
@@ -239,7 +242,7 @@
         ("none", "not-run"),
     )
     def test_refusal_before_the_key_is_looked_up(self, case, outcome):
-        """Guards against "not run" for a repeat of what may have run."""
+        """Guards against "not run" for a key whose request may have run."""
         entry = self._entry(_Script(_OK), peers=("a-2",))
         (key,) = self.keys.issue(1)
         match case:
@@ -254,7 +257,7 @@
         self.assertEqual(outcome, found)
 
     def test_leaving_issuer_is_still_asked(self):
-        """Guards against an avoidable unknown outcome in a planned stop."""
+        """Guards against unknown outcomes during a graceful stop."""
         entry = self._entry(_Script(_OK), peers=("a-2",))
         self._send(entry, method="GET")
         self.plane.snapshot = self._snapshot()
@@ -262,7 +265,7 @@
         self.assertEqual("answered", self._send(entry, key="a-2~life~1")[0])
 
     def test_moved_issuer_is_not_asked_in_a_circle(self):
-        """Guards against a loop of instances with old addresses."""
+        """Guards against a forwarding loop by outdated addresses."""
         entry = self._entry(_Script(_OK), peers=("a-2",))
         marked = {ISSUER_HEADER.lower().replace("-", "_"): "a-2"}
         outcome, _ = self._send(entry, key="a-2~life~1", **marked)
@@ -271,7 +274,7 @@
 
     @params(True, False)
     def test_issuer_without_seats_places_its_keys_elsewhere(self, leaving):
-        """Guards against refusing keys that no other instance may run."""
+        """Guards against a refusal of keys that only this instance may use."""
         refused = PeerRefused(code=ResultCode.NO_SEAT)
         self.peer_calls = _Script(refused, refused, _OK)
         entry = self._entry(_Script(refused))
@@ -282,10 +285,10 @@
         self.assertEqual(3, len(self.peer_calls.calls))
 
     def test_read_without_seats_is_placed_again(self):
-        """Guards against refusing reads right after a start.
+        """Guards against refused reads right after a start.
 
-        A caller that knows only this instance would be refused by each of
-        its tries within milliseconds.
+        A caller that knows only this instance would use up its retries
+        within milliseconds.
         """
         refused = PeerRefused(code=ResultCode.NO_SEAT)
         script = _Script(refused, refused, _OK)
@@ -293,7 +296,7 @@
         self.assertEqual("answered", self._send(entry, method="GET")[0])
 
     def test_read_without_seats_does_not_wait_for_its_deadline(self):
-        """Guards against holding a read that can run elsewhere."""
+        """Guards against delaying a read that can run elsewhere."""
 
         class Refusing(_Script):
             def run(script, *args, **kwargs):
@@ -307,7 +310,7 @@
 
     @params("0", "-1", "+1", "1.5", "", "9" * 5000)
     def test_bad_deadline_is_refused(self, text):
-        """Guards against an error where a refusal is due."""
+        """Guards against an internal error for an invalid deadline."""
         script = _Script(_OK)
         entry = self._entry(script)
         outcome, code = self._send(entry, method="GET", x_deadline_ms=text)
@@ -325,7 +328,7 @@
         ("9" * 400, None),
     )
     def test_deadline(self, text, deadline):
-        """Guards against work past the time at which its seat may move."""
+        """Guards against work that runs after its seat may have moved."""
         works = []
 
         class Runner:
@@ -393,14 +396,14 @@
         )
 
     def test_error_in_an_exchange_leaves_its_slot_occupied(self):
-        """Guards against taking an unexpected error for "not sent"."""
+        """Guards against treating an unexpected error as "not sent"."""
         run = self._executor(_Script(RuntimeError("fault")))
         with self.assertRaises(RuntimeError):
             run()
         self.assertIsInstance(self.released[0], Reset)
 
     def test_grant_from_before_a_pause_is_not_used(self):
-        """Guards against old work after the process was stopped."""
+        """Guards against outdated work after a pause of the process."""
         script = _Script(_OK)
         attempt = self._executor(script, is_valid=False)()
         self.assertIs(Outcome.NOT_RUN, classify(attempt.end).outcome)
--- a/tests/runtime/test_entry_load.py
+++ b/tests/runtime/test_entry_load.py
@@ -1,4 +1,8 @@
-"""Tests of the request path under load: threads of long ones, detours."""
+"""Tests of the request path under load.
+
+Long requests must not occupy all threads, and a detour to another region must
+not take longer than the wait for a local slot.
+"""
 
 import math
 import threading
@@ -30,7 +34,7 @@
 
 class LongThreadsTest(unittest.TestCase):
     def test_long_requests_do_not_hold_all_threads(self):
-        """Guards against short requests that wait for a thread."""
+        """Guards against short requests that wait behind long ones."""
         entry = _entry()
         gate = threading.Event()
         running = threading.Semaphore(0)
@@ -74,7 +78,7 @@
     def test_no_detour_that_takes_longer_than_the_wait(
         self, region, wait_s, expected
     ):
-        """Guards against 70 ms of way for a slot that is free in 3 ms."""
+        """Guards against a detour of 70 ms for a slot that is free in 3 ms."""
         executor = mock.create_autospec(Executor, instance=True)
         executor.expected_wait_s.return_value = wait_s
         work = Zoned(state(server("s1"))).work()
@@ -83,7 +87,10 @@
         self.assertIs(expected, entry._is_sooner_here(target, work))
 
     def test_expected_wait(self):
-        """The wait grows with the queue; no server means no end of it."""
+        """Guards against a detour decision on a wrong wait.
+
+        The wait grows with the queue and is infinite without a server.
+        """
         zone = Zoned(state(server("s1", slots=1, long_slots=0)))
         grant = zone.take()
         zone.clock.advance(0.1)
--- a/tests/runtime/test_forward.py
+++ b/tests/runtime/test_forward.py
@@ -1,4 +1,4 @@
-"""Responses over a link, and the refusal of a stopping instance."""
+"""Tests of responses over a link and of the refusal while stopping."""
 
 import unittest
 
@@ -26,7 +26,7 @@
         self.links = Links(
             zone="b1", clock=self.clock, sleep=self.clock.advance
         )
-        # Of 0.8 Mbit/s, requests have 95 kB/s.
+        # Of 0.8 Mbit/s, 95 kB/s are left for requests.
         self.state = cap_states.make_state(mbit_per_s=0.8)
         self.links.update(
             cap_states.snapshot(self.state, 1000.0, range(cap_states.SEATS))
@@ -42,27 +42,27 @@
         return pace_reply(self.links, self.clock, work, run, **changes)
 
     def test_response_waits_for_the_rate(self):
-        """Sent at once, a response would fill the link."""
+        """Guards against a response that exceeds the rate of the link."""
         reply = self._pace(50_000)
         self.assertEqual(200, reply.status)
         self.assertAlmostEqual(1000.51, self.clock.monotonic(), delta=0.05)
 
     @params(Outcome.NOT_RUN, Outcome.UNKNOWN)
     def test_request_is_refused_before_it_runs(self, refusal):
-        """Run first, a response without room would be lost."""
+        """Guards against a run whose response the link cannot carry."""
         self.links.reserve("a", 200_000, 2.0)
         reply = self._pace(10, refusal=refusal)
         expected = (refusal.value, str(int(ResultCode.LINK_CAP)))
         self.assertEqual((0, expected), (self.runs, _outcome(reply)))
 
     def test_late_response_is_unknown(self):
-        """It ran: telling that it did not would be wrong."""
+        """Guards against the outcome "not run" for a request that has run."""
         reply = self._pace(500_000)
         self.assertEqual(Outcome.UNKNOWN.value, _outcome(reply)[0])
         self.assertLessEqual(self.clock.monotonic(), 1002.01)
 
     def test_failed_run_gives_its_reservation_back(self):
-        """Leaked reservations would close the link for ever."""
+        """Guards against leaked reservations, which would block the link."""
 
         def fail() -> Reply:
             raise RuntimeError("fault")
@@ -76,7 +76,7 @@
 
 class RefuseTest(unittest.TestCase):
     def test_stopping_instance_refuses_peers_with_proof(self):
-        """Peers that did not hear of the stop would keep it in flight."""
+        """Guards against a stop delayed by peers that do not know of it."""
         forward = Forward(
             zone="b1",
             clock=ManualClock(),
--- a/tests/runtime/test_public.py
+++ b/tests/runtime/test_public.py
@@ -1,4 +1,4 @@
-"""Tests of the issue of keys and of input errors at the look-up address."""
+"""Tests of issuing keys and of invalid input at the look-up address."""
 
 import types
 import unittest
@@ -26,7 +26,7 @@
         ("ready", "count=\u0663", 400, ResultCode.REQUEST_MALFORMED),
     )
     def test_issue(self, case, query, status, code):
-        """Guards against keys of an instance that cannot serve them."""
+        """Guards against keys issued by an instance that cannot serve them."""
         keys = KeyTable(instance="a-1", life="l", clock=ManualClock())
         if case == "full":
             keys.issue(KEYS_MAX)
--- a/tests/runtime/test_seat_safety.py
+++ b/tests/runtime/test_seat_safety.py
@@ -1,7 +1,6 @@
-"""Tests that no two process lifetimes use one slot at the same time.
+"""Tests that no two process lifetimes use one slot at the same time (P2).
 
-Guarantee P2. The naive versions below show that the log of uses detects a
-violation.
+The naive implementations below show that the log of uses detects violations.
 """
 
 import itertools
@@ -25,10 +24,10 @@
 
 EVEN_LIMIT_S = 60
 _SEATS = 6
-# An instance without its peers and the store is not covered by the design.
+# The design does not cover an instance cut off from peers and store.
 _KINDS = tuple(k for k in Kind if k is not Kind.ISOLATE)
 _STORE = {Kind.OUTAGE, Kind.STORE_CUT, Kind.RESTORE}
-# Without shrinking, so that a failure does not take minutes.
+# No shrinking, which takes minutes after a failure.
 _PLAIN = settings(
     deadline=None,
     derandomize=True,
@@ -39,7 +38,7 @@
 
 
 class EqualSplitPlane(ControlPlane):
-    """Naive: each instance takes its part by the live members it sees."""
+    """Naive implementation that splits seats among visible live members."""
 
     def tick(self) -> None:
         super().tick()
@@ -57,7 +56,7 @@
 
 
 class LeasePlane(EqualSplitPlane):
-    """Naive: a seat is free once its holder was silent for two seconds."""
+    """Naive implementation that frees a seat after 2 s without its holder."""
 
     def tick(self) -> None:
         now = self.clock.monotonic()
@@ -95,7 +94,7 @@
 
     @params(EqualSplitPlane, LeasePlane)
     def test_naive_version_is_caught(self, kind) -> None:
-        """Guards the log of uses: it must see a known violation."""
+        """Guards against a log of uses that misses a known violation."""
         planes = Planes(seed=1)
         started = [planes.start(n, kind=kind) for n in range(3)]
         planes.run(8.0)
@@ -105,7 +104,7 @@
 
     @params(*itertools.combinations_with_replacement(_KINDS, 2))
     def test_two_faults_at_once(self, first, second) -> None:
-        """Guards against a hole that needs two failures together."""
+        """Guards against violations that need two faults at once."""
         for target, seed in ((0, 7), (1, 8)):
             faults = [
                 Fault(kind=first, target=0, pause_s=0.5),
@@ -116,11 +115,12 @@
     @settings(_PLAIN, max_examples=60)
     @given(st.integers(0, 1000), _faults(_KINDS))
     def test_random_faults(self, seed, faults) -> None:
+        """Guards against violations that need a sequence of faults."""
         self._check(FaultRun(seed=seed), faults)
 
     @settings(_PLAIN, max_examples=30)
     @given(st.integers(0, 1000), _faults(_KINDS_REACHING_STORE))
     def test_holder_that_reaches_only_the_store(self, seed, faults) -> None:
-        """Guards a holder whose peers hear nothing of it and claim."""
+        """Guards against claims by peers that a live holder cannot reach."""
         isolate = Fault(kind=Kind.ISOLATE, duration_s=15.0, pause_s=9.0)
         self._check(FaultRun(seed=seed), [isolate, *faults])
--- a/tests/runtime/test_seatsystem.py
+++ b/tests/runtime/test_seatsystem.py
@@ -1,4 +1,4 @@
-"""Tests of the rules of claims, suspension and transfers of seats."""
+"""Tests of claims, suspension and transfers of seats."""
 
 import unittest
 
@@ -50,12 +50,12 @@
         return planes, started
 
     def _pass_time(self, planes: Planes, seconds: float) -> None:
-        """Pass time without running any instance: all of them pause."""
+        """Advance the clock while all instances are paused."""
         planes.clock.advance(seconds)
 
     @params(True, False)
     def test_ticket_before_first_tick_after_pause(self, by_peer) -> None:
-        """A ticket after a pause published the seats as confirmed."""
+        """Guards against seats published as confirmed right after a pause."""
         planes, (one,) = self._planes(1, **_QUIET)
         self._pass_time(planes, 10.0)
         ticket = make_ticket(2)
@@ -69,7 +69,7 @@
         self.assertFalse(one.plane.snapshot.confirmed)
 
     def test_hand_over_waits_for_confirmation(self) -> None:
-        """A paused holder handed on a seat that another had claimed."""
+        """Guards against a transfer of a seat claimed during a pause."""
         planes, (one, two) = self._planes(2, **_QUIET)
         request = SeatRequest(
             instance=two.name, life=two.life, peer=two.peer, held=0
@@ -84,10 +84,10 @@
         self.assertTrue(one.held)
 
     def test_answer_from_before_the_pause_confirms_nothing(self) -> None:
-        """Answers queued while an instance was paused show the past."""
+        """Guards against confirmation by messages queued during a pause."""
         planes, (one, two) = self._planes(2, **_QUIET)
         planes.store.is_down = True
-        # The answer to the open ping waits in the paused instance's queue.
+        # The paused instance's queue holds the reply to its last ping.
         old = Ack(
             sequence=one.plane.members.sequence,
             gossip=gossip._gossip(two.plane, None),
@@ -102,7 +102,7 @@
         self.assertIsNotNone(one.plane.seats.suspended_at)
 
     def test_claimed_seat_stays_closed_over_transfer(self) -> None:
-        """A claimed seat handed on opened while the dead's work ran."""
+        """Guards against a seat that opens while a dead holder's work runs."""
         planes, (one, two) = self._planes(2, **_QUIET)
         two.is_dead = True
         self.assertTrue(
@@ -115,7 +115,7 @@
             self.assertGreaterEqual(held.long_from, opens[got])
 
     def test_transfer_before_the_state_is_known(self) -> None:
-        """A seat sent to an instance without a state was lost."""
+        """Guards against losing a seat sent to an instance without a state."""
         planes, (_one, _two) = self._planes(2, **_QUIET)
         state, planes.state = planes.state, None
         fresh = planes.start(5)
@@ -138,7 +138,7 @@
 
     @params((0.0, True), (3.0, False), (-3.0, False))
     def test_late_transfer_is_refused(self, age_s, is_taken) -> None:
-        """A transfer held up in its sender's queue arrives after a claim."""
+        """Guards against a delayed transfer that arrives after a claim."""
         planes, (one, two) = self._planes(2, **_QUIET)
         seat = min(two.held)
         message = SeatTransfer(
@@ -158,7 +158,10 @@
             self.assertGreaterEqual(opens, planes.clock.monotonic() + 5)
 
     def test_lost_transfer_is_taken_back(self) -> None:
-        """A seat recorded for a receiver that never got it stayed unused."""
+        """Guards against an unused seat after a lost transfer.
+
+        The record names a receiver that never got the seat.
+        """
         planes, (one, two) = self._planes(2, **_QUIET)
         planes.exchange.is_cut = lambda a, b: a == two.peer
         two.plane.handle(Leave())
@@ -168,7 +171,7 @@
         self.assertTrue(planes.run_until(lambda: len(one.held) == 6, 40))
 
     def test_late_and_repeated_seat_requests(self) -> None:
-        """A late request made the holder give away more than its excess."""
+        """Guards against releasing more than the excess for a late request."""
         planes, (one, two) = self._planes(2, **_QUIET)
         request = SeatRequest(
             instance=two.name, life=two.life, peer=two.peer, held=0
@@ -190,7 +193,7 @@
         )
 
     def test_claim_starts_above_every_known_epoch(self) -> None:
-        """A restored record made a claim start below the holder's epoch."""
+        """Guards against a claim below the holder's epoch after a restore."""
         planes, (one, two) = self._planes(2, **_QUIET)
         old = dict(planes.store.items)
         three = planes.start(9)
@@ -209,7 +212,10 @@
                 self.assertGreater(epoch, before[seat])
 
     def test_record_names_another_holder_after_a_pause(self) -> None:
-        """A claim from a restored record had an epoch below the holder's."""
+        """Guards against a seat kept despite another owner in the record.
+
+        After a restore, the other owner's claim may have a lower epoch.
+        """
         planes, (one,) = self._planes(1, **_QUIET)
         record, _ = one.records.read()
         other = msgspec.structs.replace(
@@ -227,7 +233,7 @@
         self.assertTrue(one.plane.snapshot.confirmed)
 
     def test_unanswered_transfer_ends_with_a_pause(self) -> None:
-        """A transfer repeated after a pause came after a claim."""
+        """Guards against a transfer resent after a pause and a claim."""
         planes, (one, two) = self._planes(2, **_QUIET)
         planes.exchange.is_cut = lambda a, b: b == two.peer
         one.plane.handle(Leave())
@@ -239,7 +245,7 @@
         self.assertEqual({}, one.plane.seats.transfers)
 
     def test_receiver_writes_the_record(self) -> None:
-        """A giver that died before it could write left a wrong owner."""
+        """Guards against a wrong owner if the giver dies before it writes."""
         planes, (one, two) = self._planes(2, **_QUIET)
         planes.cut_from_store.add(two.peer)
         two.plane.handle(Leave())
@@ -250,7 +256,10 @@
         self.assertEqual({one.life}, {o.life for o in record.owners.values()})
 
     def test_claims_are_told_to_the_member_taken_for_dead(self) -> None:
-        """A live holder wrongly taken for dead went on using its seats."""
+        """Guards against a live holder that keeps using claimed seats.
+
+        It was wrongly declared dead and has to learn of the claims.
+        """
         planes, (one, two) = self._planes(2, **_QUIET)
         two.is_dead = True
         told = []
@@ -268,8 +277,10 @@
         self.assertGreaterEqual(len(news), 4)
 
     def test_holder_cut_from_its_peers_reads_the_record(self) -> None:
-        """In a large zone it takes an instance long to see that it is cut
-        off, while the others soon claim its seats.
+        """Guards against a partitioned holder that uses claimed seats.
+
+        In a large zone, it detects the partition long after the other
+        instances could claim its seats.
         """
         state = make_state(seats=24)
         planes, started = self._planes(12, state=state, load=())
@@ -289,7 +300,7 @@
         self.assertLess(longest_s, NEWS_MARGIN_S)
 
     def test_restored_record_is_repaired(self) -> None:
-        """A restored record named owners that had given their seats away."""
+        """Guards against former owners in a restored record."""
         planes, (one, two) = self._planes(2, **_QUIET)
         planes.store.items = {}
         planes.run(12.0)
@@ -299,7 +310,7 @@
         self.assertEqual(expected, owners)
 
     def test_member_called_dead_that_answers_keeps_its_seats(self) -> None:
-        """News of a death alone let others claim a live holder's seats."""
+        """Guards against claims based only on gossip about a dead member."""
         planes, (one, two, three) = self._planes(3, **_QUIET)
         before = three.held
         for _ in range(200):
@@ -321,9 +332,9 @@
         self.assertEqual(before, three.held)
 
     @params(
-        # The slot was long when the dead instance used it.
+        # The dead instance may have run a long request on the slot.
         (make_ticket(2, long_slots=0), 6.0),
-        # The deadline was longer.
+        # The dead instance may have run a request with a longer deadline.
         (
             make_ticket(
                 2, classes=(msgspec.structs.replace(SHORT, deadline_ms=100),)
@@ -332,7 +343,7 @@
         ),
     )
     def test_claim_after_a_ticket_changed_slots(self, ticket, least_s) -> None:
-        """Work under the earlier ticket ran on slots opened by the later."""
+        """Guards against opening slots on which earlier work still runs."""
         planes, (one, two) = self._planes(2, **_QUIET)
         state = apply_ticket(planes.state, ticket)
         entry = Entry(
@@ -352,6 +363,7 @@
     # Liveness.
 
     def test_graceful_stop_hands_all_seats_over(self) -> None:
+        """Guards against seats left without a holder by a graceful stop."""
         planes, (one, _two, _three) = self._planes(3)
         one.plane.handle(Leave())
         planes.run(1.0)
@@ -363,6 +375,7 @@
         self.assertTrue(planes.run_until(planes.is_even, limit_s=5))
 
     def test_cut_off_zone_keeps_its_seats(self) -> None:
+        """Guards against seats given up because the store is down."""
         planes, started = self._planes(3)
         before = [p.held for p in started]
         planes.store.is_down = True
@@ -373,6 +386,7 @@
         self.assertGreater(sum(len(u) for u in planes.uses.values()), uses)
 
     def test_fresh_instance_in_an_outage_gets_seats(self) -> None:
+        """Guards against transfers that depend on the store."""
         planes, _ = self._planes(2, load=(SHORT, LONG))
         planes.store.is_down = True
         fresh = planes.start(9)
@@ -382,7 +396,7 @@
         self.assertEqual([], planes.overlaps())
 
     def test_whole_zone_pauses_without_store(self) -> None:
-        """All instances paused and the store down: none may stay suspended."""
+        """Guards against seats suspended for ever while the store is down."""
         planes, started = self._planes(3)
         planes.store.is_down = True
         self._pass_time(planes, 30.0)
@@ -394,6 +408,7 @@
         self.assertEqual([], planes.overlaps())
 
     def test_more_instances_than_seats(self) -> None:
+        """Guards against an uneven split if seats are scarce."""
         _planes, started = self._planes(
             9, state=make_state(seats=6), seeds=9, load=()
         )
--- a/tests/runtime/test_ticketspread.py
+++ b/tests/runtime/test_ticketspread.py
@@ -1,7 +1,7 @@
-"""Tests of ticket spread between control planes, with simulated time.
+"""Tests of ticket spread between control planes, in simulated time.
 
-The planes exchange encoded messages over a network that delays, loses and
-limits them as the transport does; no process and no sleep is needed.
+The control planes exchange encoded messages over a simulated network that
+delays, drops and limits them as the transport does.
 """
 
 import collections
@@ -43,7 +43,7 @@
 
 
 class Network:
-    """Control planes on one manual clock, `per_zone` in each zone."""
+    """Control planes with one manual clock, `per_zone` in each zone."""
 
     def __init__(self, *, zones=4, per_zone=4, gossips=True, seed=1) -> None:
         self.clock = ManualClock()
@@ -139,17 +139,17 @@
                 self.cut
             ):
                 index, pause_s = self.watches[name].step(0)
-                # A blocking read returns with the next change at once.
+                # A blocking read returns as soon as the head changes.
                 self._due[name] = now + max(pause_s, 0.1 if index else 0.0)
 
     def all_have(self, number: int, names=None):
-        """Return a condition: the ticket is in force on all instances."""
+        """Return a predicate: is a ticket in force on the instances?"""
         return lambda: all(
             self.planes[n].state.number >= number for n in names or self.planes
         )
 
     def submit(self, count=1, author="a", size=0) -> list:
-        """Have tickets accepted."""
+        """Submit tickets and return the accepted entries."""
         log = TicketLog(store=MemoryStore(platform=self.platform))
         head = log.head().entry
         first = (head.number if head else 0) + 1
@@ -179,7 +179,7 @@
 
 
 def joined(**kwargs) -> Network:
-    """Return a network whose members know each other, with ticket 1."""
+    """Return a network with ticket 1 whose members know each other."""
     net = Network(**kwargs)
     net.submit()
     net.run(net.all_have(1), 30)
@@ -190,9 +190,9 @@
 class SpreadTest(unittest.TestCase):
     @params((False, False), (True, True))
     def test_store_down_after_acceptance(self, gossips, holds):
-        """Guards against spread that needs the store.
+        """Guards against spread that depends on the store.
 
-        One instance has read the ticket when the store goes down.
+        Only one instance has read the ticket before the store goes down.
         """
         worst = 0.0
         for seed in range(4):
@@ -205,7 +205,7 @@
 
     @params((), ("z0-0",), ("z0-0", "z0-1"), ("z0-0", "z1-0", "z2-0", "z3-0"))
     def test_frozen_watchers(self, *frozen):
-        """Guards against a ticket that waits for one frozen watcher."""
+        """Guards against spread that depends on a frozen watcher."""
         net = joined()
         net.frozen.update(frozen)
         net.submit()
@@ -218,9 +218,9 @@
 
     @params((3, 0), (300, 0), (64, 50_000))
     def test_zone_cut_off_and_rejoined(self, count, size):
-        """Guards against a zone that stays behind after it rejoins.
+        """Guards against a zone that stays behind after a partition.
 
-        The missing part exceeds the kept tickets, or one message.
+        The missing tickets exceed the recent ones or the size of a message.
         """
         net = joined()
         net.cut.add("z1")
@@ -237,10 +237,10 @@
 
     @params(1, 300)
     def test_fresh_instances_in_an_outage(self, count):
-        """Guards against a fleet that was replaced and cannot repair.
+        """Guards against a replaced fleet that cannot repair the store.
 
-        All old instances end; the new ones got the state from peers, and
-        the store comes back with older data.
+        The new instances have got the state only from peers that have ended
+        since, and the store returns with older data.
         """
         net = joined()
         net.platform.admin({"save": True})
@@ -262,11 +262,11 @@
 
     @params(2, 60, 300)
     def test_fork_reverts_no_instance(self, count):
-        """Guards against an instance that takes over another history.
+        """Guards against an instance that adopts a forked history.
 
-        The store is restored and cut off; operators submit tickets that
-        other instances have with other content. The other history is
-        longer, so that whole states of it are offered too.
+        After a restore of the store, operators submit tickets whose numbers
+        are in force with other content. The forked history is longer, so
+        that whole states of it are offered too.
         """
         net = joined()
         net.platform.admin({"save": True})
@@ -285,7 +285,7 @@
         self.assertEqual(net.names, [n for n in net.forks() if n in net.names])
 
     def test_restored_store_is_repaired(self):
-        """Guards against a store that stays behind the instances."""
+        """Guards against a restored store that stays behind the instances."""
         net = joined()
         net.platform.admin({"save": True})
         last = net.submit(5)[-1]
@@ -301,7 +301,7 @@
 class RecentTicketsTest(unittest.TestCase):
     @params((10, 0, 10), (300, 0, 256), (40, 800_000, 10))
     def test_bounded_by_number_and_size(self, count, size, kept):
-        """Guards against memory that grows with the size of tickets."""
+        """Guards against memory use that grows with the size of tickets."""
         recent = RecentTickets()
         for number in range(1, count + 1):
             recent.append(
@@ -318,10 +318,10 @@
 
 class PullScheduleTest(unittest.TestCase):
     def test_peer_of_another_history(self):
-        """Guards against whole states that are sent and refused for ever.
+        """Guards against endless transfers of states that are rejected.
 
-        A peer on a longer history offers it five times a second, while
-        another one goes on with the own history.
+        A peer offers a longer, forked history five times a second, while
+        another peer continues this instance's history.
         """
         pulls = PullSchedule()
         own, forked, late = 10, 0, 0
@@ -346,7 +346,7 @@
 class HeadWatchTest(unittest.TestCase):
     @params(b"", b"\xff" * 9, b"\x93\x01\x02\x03")
     def test_damaged_values(self, data):
-        """Guards against an exception that ends the following thread."""
+        """Guards against malformed data that ends the thread of the watch."""
         net = joined(zones=1, per_zone=2)
         net.submit(70)
         net.run(net.all_have(71), 30)
@@ -367,7 +367,7 @@
             self.assertEqual(71, net.planes["z0-x"].state.number, key)
 
     def test_base_is_mended(self):
-        """Guards against submissions refused for good by a bad base."""
+        """Guards against a malformed base that blocks all submissions."""
         net = joined(zones=1, per_zone=1)
         net.submit(70)
         net.run(net.all_have(71), 30)
@@ -377,7 +377,7 @@
         self.assertEqual(72, net.submit()[0].number)
 
     def test_fork_at_the_same_number(self):
-        """Guards against an unnoticed fork at the number in force."""
+        """Guards against an undetected fork at the number in force."""
         net = joined(zones=1, per_zone=1)
         net.platform.admin({"save": True})
         net.submit()
@@ -388,7 +388,7 @@
         self.assertIn("another ticket 2", net.planes["z0-0"].fork)
 
     def test_unexpected_errors_are_kept_in(self):
-        """Guards against any exception that leaves the step."""
+        """Guards against an exception that ends the thread of the watch."""
         net = joined(zones=1, per_zone=1)
         watch = net.watches["z0-0"]
         for error in (RuntimeError("changed size"), MemoryError(), KeyError()):
@@ -399,7 +399,7 @@
             self.assertTrue(watch.fault)
 
     def test_damaged_seat_record(self):
-        """Guards against a store worker that a damaged record ends."""
+        """Guards against a malformed record that ends the store worker."""
         platform = Platform()
         platform.put("chiverun/seats/z0", b"\xff", None)
         records = SeatRecords(store=MemoryStore(platform=platform), zone="z0")
@@ -411,7 +411,7 @@
         self.assertEqual([1.0, 2.0], [r.asked_at for r in reports])
 
     def test_state_chunks_that_do_not_fit(self):
-        """Guards against chunks that raise or mix two states."""
+        """Guards against malformed chunks that raise or mix two states."""
         net = joined(zones=1, per_zone=1)
         plane = net.planes["z0-0"]
         other = joined(zones=1, per_zone=1)
--- a/tests/runtime/test_zonedrain.py
+++ b/tests/runtime/test_zonedrain.py
@@ -1,4 +1,4 @@
-"""Tests of the drain state of a zone in the published snapshots."""
+"""Tests that a drained zone disappears from look-ups and routes."""
 
 import unittest
 
@@ -57,7 +57,7 @@
         self.net.run(lambda: False, 0.2)
 
     def listed(self, name: str) -> set[str]:
-        """Return the zones that an instance's look-ups and routes name."""
+        """Return the zones in the look-ups and routes of an instance."""
         plane = self.net.planes[name]
         snapshot = plane.snapshot
         zones = set()
@@ -89,17 +89,17 @@
         self.assertEqual(set(), planes["z1-0"].snapshot.leaving_servers)
 
     def test_last_zone_is_not_drained(self):
-        """Guards against a ticket that leaves no zone."""
+        """Guards against a ticket that drains every zone."""
         names = [f"z{i}" for i in range(6)]
         with self.assertRaises(ChiverunError) as caught:
             self.accept(_zone_ticket(2, names, ZoneState.DRAIN))
         self.assertEqual(ResultCode.TICKET_INVALID, caught.exception.code)
 
     def test_added_fields_keep_digests(self):
-        """Guards against a fork between instances of two versions.
+        """Guards against a fork between instances of different versions.
 
-        A field that is added with a default must not change the encoding of
-        tickets that do not use it.
+        A new field with a default must not change the encoding of tickets
+        that do not set it.
         """
         ticket = _zone_ticket(1, ["z"], ZoneState.ACTIVE)
         self.assertNotIn(b"state", encode_ticket(ticket))
