--- a/chiverun/cli.py
+++ b/chiverun/cli.py
@@ -27,7 +27,7 @@
 from chiverun.core.ticket import read_ticket
 from chiverun.core.ticket import Ticket
 from chiverun.core.ticketcheck import check_ticket
-from chiverun.core.ticketconflict import InForce
+from chiverun.core.ticketconflict import ReportedState
 from chiverun.core.ticketentry import Entry
 from chiverun.core.ticketlog import TicketLog
 from chiverun.integrations.interfaces import StoreUnavailable
@@ -296,9 +296,9 @@
         )
 
 
-def _in_force(cfg: OperatorSettings) -> list[InForce]:
+def _in_force(cfg: OperatorSettings) -> list[ReportedState]:
     return [
-        InForce(instance=s.instance, number=s.number, digest=s.digest)
+        ReportedState(instance=s.instance, number=s.number, digest=s.digest)
         for s in _statuses(cfg).values()
         if s is not None
     ]
@@ -323,7 +323,7 @@
 
 
 def _details(status: Status, newest: int) -> str:
-    parts = [f"{s}={n}" for s, n in sorted(status.room.items())]
+    parts = [f"{s}={n}" for s, n in sorted(status.free_slots.items())]
     parts += [f"link {t}={f:.0%}" for t, f in sorted(status.links.items())]
     if status.number < newest:
         parts.append(f"STALE since {status.in_force_s:.0f}s")
--- a/chiverun/core/shift.py
+++ b/chiverun/core/shift.py
@@ -35,7 +35,7 @@
 class Measurement:
     """Free slots at the target region for a service, and their age."""
 
-    room: int
+    free_slots: int
     age_s: float
 
 
@@ -68,7 +68,7 @@
     return cap_name(first) == cap_name(second)
 
 
-def followed_by(progress: ShiftProgress, shift: Shift) -> ShiftProgress:
+def with_shift(progress: ShiftProgress, shift: Shift) -> ShiftProgress:
     """Return the progress of a changed shift.
 
     The reached fraction is kept, up to the new one: traffic does not fall
@@ -112,7 +112,7 @@
         return
     if measurement is None or measurement.age_s > FRESH_S:
         return
-    if measurement.room <= 0 or now - progress.grown_at < (
+    if measurement.free_slots <= 0 or now - progress.grown_at < (
         progress.shift.warm_s
     ):
         return
@@ -157,7 +157,7 @@
     return usable[:TARGETS_PER_REQUEST]
 
 
-def note_refused(
+def record_refusal(
     progress: ShiftProgress, target: "Target", now: float
 ) -> None:
     """Leave out an instance that is at its portion of the cap.
--- a/chiverun/runtime/execution.py
+++ b/chiverun/runtime/execution.py
@@ -15,10 +15,10 @@
 from chiverun.core.retries import plan_hedge
 from chiverun.core.ticket import RequestClass
 from chiverun.integrations.backend import HOP_HEADERS
-from chiverun.integrations.backend import Outgoing
+from chiverun.integrations.backend import OutgoingRequest
 from chiverun.integrations.cancellation import Cancellation
 from chiverun.runtime.hedging import HEDGE_THREADS
-from chiverun.runtime.hedging import HedgeThreads
+from chiverun.runtime.hedging import HedgePool
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -30,7 +30,7 @@
     from chiverun.core.work import Work
     from chiverun.integrations.backend import HttpBackends
     from chiverun.integrations.telemetry import Telemetry
-    from chiverun.runtime.hedging import Race
+    from chiverun.runtime.hedging import HedgedRequest
 
 # Headers from callers that are not forwarded to backend servers.
 _OWN_HEADERS = frozenset(
@@ -72,7 +72,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class HedgeTerms:
+class HedgeLimits:
     """Attempts and retry budget left for a hedged second attempt."""
 
     attempts_left: int
@@ -91,7 +91,7 @@
         telemetry: "Telemetry",
         hedge_threads: int = HEDGE_THREADS,
     ) -> None:
-        self._hedges = HedgeThreads(threads=hedge_threads)
+        self._hedges = HedgePool(threads=hedge_threads)
         self._clock = clock
         self._admission = admission
         self._backends = backends
@@ -104,7 +104,7 @@
         excluded: frozenset[ServerName],
         *,
         may_wait: bool,
-        hedge: HedgeTerms | None = None,
+        hedge: HedgeLimits | None = None,
     ) -> Attempt:
         """Run a request once, with a hedged second attempt if allowed.
 
@@ -134,7 +134,7 @@
             return Attempt(end=end, server=grant.server.name)
         race.wait(plan.delay_s)
         second = None
-        if not race.has_end() and hedge.budget.withdraw():
+        if not race.is_any_finished() and hedge.budget.withdraw():
             second = self._hedge(race, grant, content, excluded)
             if second is None:
                 hedge.budget.refund()
@@ -149,7 +149,7 @@
         return self._admission.expected_wait_s(work)
 
     def _plan(
-        self, work: "Work", hedge: HedgeTerms | None
+        self, work: "Work", hedge: HedgeLimits | None
     ) -> HedgePlan | None:
         if hedge is None:
             return None
@@ -157,12 +157,12 @@
             repeatable=work.request_class.repeatable,
             attempts_left=hedge.attempts_left,
             delay_s=self._admission.hedge_delay_s(work),
-            left_s=work.deadline - self._clock.monotonic(),
+            remaining_s=work.deadline - self._clock.monotonic(),
         )
 
     def _hedge(
         self,
-        race: "Race",
+        race: "HedgedRequest",
         first: "Grant",
         content: Content,
         excluded: frozenset[ServerName],
@@ -217,8 +217,8 @@
         self._admission.release(
             grant,
             end,
-            cancelled=cancellation.is_fired and _is_cut_off(end),
-            ended=cancellation.is_ended,
+            cancelled=cancellation.is_cancelled and _is_cut_off(end),
+            ended=cancellation.is_closed_by_server,
         )
 
     def _outgoing(
@@ -226,7 +226,7 @@
         grant: "Grant",
         content: Content,
         cancellation: Cancellation | None,
-    ) -> Outgoing:
+    ) -> OutgoingRequest:
         work = grant.work
         headers = backend_headers(content.headers)
         headers["X-Request-Id"] = content.request_id
@@ -246,14 +246,14 @@
     headers: dict[str, str],
     deadline: float,
     request_class: RequestClass,
-) -> Outgoing:
+) -> OutgoingRequest:
     """Return the request to a backend server.
 
     A server may close a reused connection while a request is written to it,
     which leaves the outcome unknown. A request that is not repeatable
     therefore gets a new connection.
     """
-    return Outgoing(
+    return OutgoingRequest(
         method=content.method,
         path=content.path,
         headers=headers,
@@ -278,8 +278,8 @@
 
 def epoch_ms(clock: "Clock", deadline: float) -> str:
     """Convert a monotonic deadline to milliseconds since the epoch."""
-    left_s = deadline - clock.monotonic()
-    return str(int((clock.wall() + left_s) * 1000))
+    remaining_s = deadline - clock.monotonic()
+    return str(int((clock.wall() + remaining_s) * 1000))
 
 
 def deadline_from_epoch(clock: "Clock", text: str) -> float:
--- a/chiverun/runtime/seatsystem.py
+++ b/chiverun/runtime/seatsystem.py
@@ -9,9 +9,9 @@
 from chiverun.core.admission import PAUSE_LIMIT_S
 from chiverun.core.ids import InstanceId
 from chiverun.core.ids import SeatIndex
-from chiverun.core.messages import SeatMark
-from chiverun.core.tables import Mark
+from chiverun.core.messages import SeatHolderRecord
 from chiverun.core.tables import Member
+from chiverun.core.tables import SeatHolder
 from chiverun.core.ticket import Zone
 from chiverun.runtime import gossip
 from chiverun.runtime import membersystem
@@ -49,7 +49,7 @@
 _LOG = logbook.Logger("control")
 
 
-def run_pause(ctx: "ControlContext", now: float) -> None:
+def suspend_after_pause(ctx: "ControlContext", now: float) -> None:
     """Suspend the seats if the process has paused since the last tick.
 
     Called before each message or event is handled, so that none of those
@@ -59,7 +59,7 @@
     if last is None or now - last <= PAUSE_LIMIT_S:
         return
     ctx.ticked_at = now
-    membership.forget_silence(ctx.members, now)
+    membership.reset_failure_detection(ctx.members, now)
     _LOG.warning(
         "seats suspended after a pause",
         extra={"pause_s": round(now - last, 3)},
@@ -100,7 +100,7 @@
 
 
 def _drop_lost_seats(ctx: "ControlContext") -> None:
-    for seat in seat_rules.lost_seats(ctx.seats, ctx.identity.life):
+    for seat in seat_rules.lost_seats(ctx.seats, ctx.identity.boot_id):
         _LOG.warning("seat lost to a later holder", extra={"seat": seat})
         _drop(ctx, seat)
 
@@ -117,16 +117,25 @@
     before the seats open.
     """
     seats = ctx.seats
-    if not seats.news or now - seats.news_at < _NEWS_PERIOD_S:
+    if (
+        not seats.gained_seats
+        or now - seats.gained_announced_at < _NEWS_PERIOD_S
+    ):
         return
-    seats.news_at = now
-    marks = tuple(
-        SeatMark(seat=s, epoch=seats.marks[s].epoch, life=seats.marks[s].life)
-        for s in seats.news
+    seats.gained_announced_at = now
+    known_holders = tuple(
+        SeatHolderRecord(
+            seat=s,
+            epoch=seats.known_holders[s].epoch,
+            boot_id=seats.known_holders[s].boot_id,
+        )
+        for s in seats.gained_seats
     )
     for row in ctx.members.in_zone(ctx.identity.zone):
-        gossip.send_marks(ctx, row.peer, marks)
-    seats.news = {s: n - 1 for s, n in seats.news.items() if n > 1}
+        gossip.send_marks(ctx, row.peer, known_holders)
+    seats.gained_seats = {
+        s: n - 1 for s, n in seats.gained_seats.items() if n > 1
+    }
 
 
 # Suspension.
@@ -195,7 +204,7 @@
         rank=sum(1 for m in sharers if m.instance < ctx.identity.instance),
         live=live,
         ended=seat_rules.ended_lives(ctx.members, zone.name, now),
-        marks=dict(seats.marks),
+        known_holders=dict(seats.known_holders),
         overdue=frozenset(
             s
             for s, since in seats.uncovered_since.items()
@@ -223,8 +232,8 @@
     if report.record is not None:
         _note_record(ctx, report.record)
     for claim in report.claims:
-        mark = Mark(claim.epoch, ctx.identity.life)
-        known = ctx.seats.marks.get(claim.seat)
+        mark = SeatHolder(claim.epoch, ctx.identity.boot_id)
+        known = ctx.seats.known_holders.get(claim.seat)
         if claim.seat in ctx.seats.held or (known and known > mark):
             continue
         ctx.seats.held[claim.seat] = seat_rules.held_after_claim(
@@ -293,7 +302,7 @@
     # a lower epoch. Giving up the seat is always safe.
     for seat in [*seats.held, *seats.releasing]:
         owner = report.record.owners.get(seat)
-        if owner is not None and owner.life != ctx.identity.life:
+        if owner is not None and owner.boot_id != ctx.identity.boot_id:
             _drop(ctx, seat)
     seats.is_record_read = True
 
@@ -303,10 +312,12 @@
     for row in ctx.members.live_in_zone(ctx.identity.zone):
         if row.advert is not None:
             claims = tuple(
-                SeatMark(seat=c.seat, epoch=c.epoch, life=row.advert.life)
+                SeatHolderRecord(
+                    seat=c.seat, epoch=c.epoch, boot_id=row.advert.boot_id
+                )
                 for c in row.advert.seats
             )
-            later = seat_rules.later_marks(ctx.seats, claims)
+            later = seat_rules.newer_holders(ctx.seats, claims)
             gossip.send_marks(ctx, row.peer, later)
 
 
@@ -334,28 +345,28 @@
     """Record seat owners; add unknown owners as members to be probed."""
     now = ctx.clock.monotonic()
     rows = ctx.members.rows
-    lives = {m.life for m in rows.values()}
+    lives = {m.boot_id for m in rows.values()}
     for seat, owner in record.owners.items():
-        mark = Mark(owner.epoch, owner.life)
-        seat_rules.note_mark(ctx.seats, seat, mark)
+        mark = SeatHolder(owner.epoch, owner.boot_id)
+        seat_rules.record_holder(ctx.seats, seat, mark)
         if (
-            owner.life in lives
-            or owner.life in ctx.members.ended
+            owner.boot_id in lives
+            or owner.boot_id in ctx.members.ended
             or owner.peer == ctx.identity.peer
         ):
             continue
-        lives.add(owner.life)
+        lives.add(owner.boot_id)
         # '~' is not allowed in names of instances, so the name is unique.
         name = owner.instance
         if name in rows or name == ctx.identity.instance:
-            name = InstanceId(f"{owner.instance}~{owner.life}")
+            name = InstanceId(f"{owner.instance}~{owner.boot_id}")
         ctx.members.add(
             Member(
                 instance=name,
                 zone=ctx.identity.zone,
                 peer=owner.peer,
                 incarnation=owner.incarnation,
-                life=owner.life,
+                boot_id=owner.boot_id,
                 state_since=now,
                 noted_sequence=ctx.members.sequence,
             )
--- a/chiverun/runtime/steering.py
+++ b/chiverun/runtime/steering.py
@@ -18,9 +18,9 @@
 from chiverun.core.splits import SplitTable
 from chiverun.integrations.asyncserver import IncomingRequest
 from chiverun.integrations.asyncserver import OutgoingResponse
-from chiverun.runtime.dialect import Dialect
-from chiverun.runtime.dialect import RequestFacts
 from chiverun.runtime.edgemetrics import EdgeMetrics
+from chiverun.runtime.headercodec import HeaderCodec
+from chiverun.runtime.headercodec import RequestMetadata
 from chiverun.runtime.selection import Overloaded
 from chiverun.runtime.selection import Placement
 from chiverun.runtime.selection import placement
@@ -61,7 +61,7 @@
     """A client's request while it is served; times are the loop's."""
 
     incoming: IncomingRequest
-    facts: RequestFacts
+    facts: RequestMetadata
     route: Route
     service: ServiceName
     place: Placement
@@ -101,7 +101,7 @@
     def __init__(
         self,
         *,
-        dialect: Dialect,
+        header_codec: HeaderCodec,
         selector: Selector,
         sender: Sender,
         bounds: EdgeBounds,
@@ -110,7 +110,7 @@
         metrics: EdgeMetrics,
     ) -> None:
         self.routes: RouteTable | None = None
-        self._dialect = dialect
+        self._header_codec = header_codec
         self._selector = selector
         self._sender = sender
         self._bounds = bounds
@@ -130,7 +130,7 @@
 
         One that may outlast an instance that is stopping is refused.
         """
-        facts = self._dialect.request_facts(incoming)
+        facts = self._header_codec.request_metadata(incoming)
         if self.routes is None:
             return self._refuse(facts, "no desired state is known yet")
         path = incoming.target.partition("?")[0]
@@ -152,7 +152,7 @@
                 task.cancel()
 
     def _request(
-        self, incoming: IncomingRequest, facts: RequestFacts, route: Route
+        self, incoming: IncomingRequest, facts: RequestMetadata, route: Route
     ) -> Request:
         service = self._splits.choose(
             f"{route.host}{route.prefix}", route.parts
@@ -206,7 +206,7 @@
     def _wait_s(self, request: Request) -> float:
         """Return how long to wait before a second server is asked."""
         now = self._loop.time()
-        left_s = max(0.0, request.until - now)
+        remaining_s = max(0.0, request.until - now)
         hedge_at = request.incoming.arrived_at + max(
             HEDGE_USUAL_FACTOR * self._usual_s(request.route),
             HEDGE_OBJECTIVE_PART * request.route.objective_s,
@@ -217,7 +217,7 @@
             and request.runs < request.route.attempts
             and now < hedge_at
         )
-        return min(left_s, hedge_at - now) if may_hedge else left_s
+        return min(remaining_s, hedge_at - now) if may_hedge else remaining_s
 
     def _send_again(self, request: Request) -> bool:
         may_have_run = request.runs > 0
@@ -240,7 +240,7 @@
                 request.overload_s = wait_s
                 self._metrics.overload_refused.add(1)
                 return False
-        if request.sends and not self._budget(request.service).try_take(
+        if request.sends and not self._budget(request.service).try_consume(
             now, len(self._machines())
         ):
             self._metrics.budget_refused.add(1)
@@ -336,7 +336,7 @@
 
     def _refuse(
         self,
-        facts: RequestFacts,
+        facts: RequestMetadata,
         reason: str,
         request: Request | None = None,
     ) -> OutgoingResponse:
@@ -392,7 +392,7 @@
         }
 
     def _log(
-        self, facts: RequestFacts, status: int, reason: str, **extra
+        self, facts: RequestMetadata, status: int, reason: str, **extra
     ) -> None:
         _LOG.info(
             reason,
--- a/chiverun/runtime/storeworker.py
+++ b/chiverun/runtime/storeworker.py
@@ -118,7 +118,7 @@
         for _ in range(_SWAP_ATTEMPTS):
             record, index = self.read()
             wanted = with_owners(record, job.owners)
-            for seat, epoch in job.given_up.items():
+            for seat, epoch in job.released.items():
                 wanted = without_owner(wanted, seat, epoch)
             if wanted == record or self._swap(wanted, index):
                 return
@@ -336,7 +336,9 @@
             return
         if not self._plane.is_watcher():
             return
-        if self._log.repair(self._plane.state, self._plane.recent.entries()):
+        if self._log.restore_head(
+            self._plane.state, self._plane.recent.entries()
+        ):
             _LOG.warning(
                 "wrote missing tickets to store",
                 extra={"from": number, "to": self._plane.state.number},
@@ -348,5 +350,5 @@
         if now < self._mend_at or not self._plane.is_watcher():
             return
         self._mend_at = now + MEND_PERIOD_S * self._rng.uniform(0.8, 1.2)
-        if self._log.mend(state):
+        if self._log.replace_unloadable_base(state):
             _LOG.warning("replaced unusable base state in store")
--- a/tests/runtime/test_drains.py
+++ b/tests/runtime/test_drains.py
@@ -10,9 +10,9 @@
 from chiverun.core.errors import ChiverunError
 from chiverun.core.exchange import Shed
 from chiverun.core.exchange import ShedReason
-from chiverun.core.ids import LifeId
+from chiverun.core.ids import BootId
 from chiverun.core.messages import Advert
-from chiverun.core.messages import DrainSign
+from chiverun.core.messages import DrainNotice
 from chiverun.core.messages import Gossip
 from chiverun.core.messages import Ping
 from chiverun.core.state import apply_ticket
@@ -20,9 +20,9 @@
 from chiverun.core.ticket import Server
 from chiverun.core.ticket import ServerState
 from chiverun.core.ticket import Ticket
+from chiverun.runtime.control import BeginStop
 from chiverun.runtime.control import ControlPlane
 from chiverun.runtime.control import Identity
-from chiverun.runtime.control import Leave
 from chiverun.runtime.control import ServersLeaving
 from chiverun.runtime.control import StateRead
 from tests.core import cap_states
@@ -33,7 +33,7 @@
 def _advert(name: str, zone: str, sequence: int = 1) -> Advert:
     return Advert(
         instance=name,
-        life=LifeId(name),
+        boot_id=BootId(name),
         incarnation=1,
         sequence=sequence,
         zone=zone,
@@ -43,7 +43,7 @@
         peer=f"{name}:4",
         leaving=False,
         seats=(),
-        room={},
+        free_slots={},
         number=1,
     )
 
@@ -58,7 +58,7 @@
         self.plane = ControlPlane(
             identity=Identity(
                 instance="b1-0",
-                life=LifeId("life"),
+                boot_id=BootId("life"),
                 zone="b1",
                 lookup="me:1",
                 entry="me:2",
@@ -80,7 +80,7 @@
         now = self.clock.monotonic()
         for seat in range(cap_states.SEATS):
             self.plane.seats.held[seat] = Held(
-                epoch=1, short_from=now, long_from=now
+                epoch=1, short_opens_at=now, long_opens_at=now
             )
         self.plane.tick()
         self.sent.clear()
@@ -101,7 +101,7 @@
             case "report":
                 self.plane.handle(ServersLeaving(servers=frozenset({_SERVER})))
             case "peer":
-                sign = DrainSign(server=_SERVER, age_ms=100)
+                sign = DrainNotice(server=_SERVER, age_ms=100)
                 self._receive("b1-1", "b1", 2, (sign,))
             case "shed":
                 work = cap_states.work(self.clock, "b")
@@ -178,7 +178,7 @@
 
     def test_leave_is_told_to_every_zone(self):
         """Guards against zones that use the instance until gossip arrives."""
-        self.plane.handle(Leave())
+        self.plane.handle(BeginStop())
         told = [a for a, m in self.sent if m.gossip.sender.leaving]
         for zone, count in (("b1", 2), ("a1", 3), ("c1", 3)):
             found = {a for a in told if a.startswith(zone)}
--- a/tests/runtime/test_hedging.py
+++ b/tests/runtime/test_hedging.py
@@ -19,8 +19,8 @@
 from chiverun.integrations.telemetry import Telemetry
 from chiverun.runtime.execution import Content
 from chiverun.runtime.execution import Executor
-from chiverun.runtime.execution import HedgeTerms
-from chiverun.runtime.hedging import HedgeThreads
+from chiverun.runtime.execution import HedgeLimits
+from chiverun.runtime.hedging import HedgePool
 from standins import backend as standin
 from tests.core.zones import BOOK
 from tests.core.zones import READ
@@ -79,7 +79,7 @@
             for _ in range(50):
                 times.record(0.01, self.clock.monotonic())
 
-    def run(self, request_class=READ, attempts_left=2, left_s=2.0):
+    def run(self, request_class=READ, attempts_left=2, remaining_s=2.0):
         """Run one request that is first sent to the slow server."""
         content = Content(
             method=request_class.methods[0],
@@ -89,11 +89,11 @@
             request_id="r1",
         )
         return self.executor.run(
-            self.work(request_class, left_s=left_s),
+            self.work(request_class, remaining_s=remaining_s),
             content,
             frozenset(),
             may_wait=False,
-            hedge=HedgeTerms(attempts_left=attempts_left, budget=self.budget),
+            hedge=HedgeLimits(attempts_left=attempts_left, budget=self.budget),
         )
 
     def events(self, name: str) -> list[str]:
@@ -142,7 +142,7 @@
         # The server closed the connection, so its slot is free at once.
         self.assertTrue(_until(lambda: self.zone.admission.in_flight() == 0))
         self.assertFalse(self.zone.admission.seat_in_use(0))
-        self.assertEqual(2, self.zone.admission.room()["desk"])
+        self.assertEqual(2, self.zone.admission.free_slots()["desk"])
 
     def test_a_server_that_ignores_the_cancellation_keeps_its_slot(self):
         """Guards against a slot that is reused while the request runs."""
@@ -152,9 +152,9 @@
         self.zone.run()
         time.sleep(0.1)
         self.assertEqual(1, self.zone.admission.in_flight())
-        self.assertEqual(1, self.zone.admission.room()["desk"])
+        self.assertEqual(1, self.zone.admission.free_slots()["desk"])
         self.assertTrue(_until(lambda: self.zone.admission.in_flight() == 0))
-        self.assertEqual(2, self.zone.admission.room()["desk"])
+        self.assertEqual(2, self.zone.admission.free_slots()["desk"])
 
     def test_a_reset_after_the_cancellation_proves_no_end(self):
         """Guards against a slot that is reused without proof of its end."""
@@ -163,7 +163,7 @@
         backend.faults["reset_after"] = 1
         self.zone.run()
         self.assertTrue(_until(lambda: self.zone.admission.in_flight() == 0))
-        self.assertEqual(1, self.zone.admission.room()["desk"])
+        self.assertEqual(1, self.zone.admission.free_slots()["desk"])
 
     @params(
         (BOOK, 2, 2.0, 1),
@@ -171,10 +171,10 @@
         (READ, 2, 0.02, 1),
         (READ, 2, 2.0, 0),
     )
-    def test_no_hedge(self, request_class, attempts_left, left_s, start):
+    def test_no_hedge(self, request_class, attempts_left, remaining_s, start):
         """Never for non-repeatable ones, over attempts or the budget."""
         self.zone.budget = RetryBudget(start=float(start))
-        attempt = self.zone.run(request_class, attempts_left, left_s)
+        attempt = self.zone.run(request_class, attempts_left, remaining_s)
         self.assertIsNone(attempt.hedge_server)
         self.assertEqual([], self.zone.events("s2"))
         self.assertEqual(bool(start), self.zone.budget.withdraw())
@@ -201,7 +201,7 @@
     def test_the_best_end_counts(self, ends, expected):
         """Guards against NOT_RUN for a request of which one attempt ran."""
         gate = threading.Event()
-        threads = HedgeThreads(threads=2)
+        threads = HedgePool(threads=2)
         race = threads.start(lambda _: ends[0])
         race.add(lambda _: gate.wait(5) and ends[1])
         race.wait(1.0)
@@ -210,7 +210,7 @@
 
     def test_threads_are_bounded(self):
         gate = threading.Event()
-        threads = HedgeThreads(threads=1)
+        threads = HedgePool(threads=1)
         race = threads.start(lambda _: gate.wait(5) and OK)
         self.assertFalse(race.add(lambda _: OK))
         self.assertIsNone(threads.start(lambda _: OK))
@@ -221,5 +221,5 @@
         def fail(_):
             raise KeyError("test")
 
-        race = HedgeThreads(threads=1).start(fail)
+        race = HedgePool(threads=1).start(fail)
         self.assertIsInstance(race.result(), Reset)
