--- a/chiverun/runtime/control.py
+++ b/chiverun/runtime/control.py
@@ -101,7 +101,7 @@
             case SeatTransfer():
                 seattransfer.on_seat_transfer(self, message)
             case SeatTransferAck():
-                seattransfer.on_seat_taken(self, message)
+                seattransfer.on_transfer_ack(self, message)
             case SeatHolderRecords():
                 gossip.on_holder_records(self, message)
 
--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -178,7 +178,7 @@
             dataclasses.replace(request.work, source_region=source),
             lambda: self._run_or_replay(req, request, key),
             # An earlier request with this key may have run.
-            refusal=Outcome.UNKNOWN,
+            refusal_outcome=Outcome.UNKNOWN,
         )
 
     def _run_or_replay(
@@ -281,7 +281,7 @@
     # Attempts.
 
     def _run(self, request: ParsedRequest) -> StoredResult:
-        """Run a request; long ones may hold only a part of the threads."""
+        """Run a request; long ones may occupy only a part of the threads."""
         if not request.work.is_long:
             return self._run_with_retries(request)
         if not self._long_threads.try_enter():
@@ -292,7 +292,7 @@
             self._long_threads.leave()
 
     def _run_with_retries(self, request: ParsedRequest) -> StoredResult:
-        """Place a request until it is answered or may not be tried again."""
+        """Place a request until it is answered or must not be retried."""
         self._budget.deposit()
         progress = _Progress(attempts_left=request.work.request_class.attempts)
         seat_wait_deadline = self._seat_wait_deadline(request)
@@ -310,8 +310,8 @@
     def _seat_wait_deadline(self, request: ParsedRequest) -> float:
         """Return until when a request waits at an instance without seats.
 
-        An unrepeatable one waits to its deadline: its key is of no use
-        elsewhere.
+        One that is not repeatable waits until its deadline, since no other
+        instance accepts its key.
         """
         if not request.work.request_class.repeatable:
             return request.work.deadline
@@ -321,12 +321,12 @@
         )
 
     def _may_wait_for_seats(
-        self, end: ExchangeEnd, request: ParsedRequest, until: float
+        self, end: ExchangeEnd, request: ParsedRequest, wait_deadline: float
     ) -> bool:
-        """Tell whether a request that nothing ran is placed again.
+        """Return whether a request is placed again until seats are found.
 
-        An instance that is leaving or has started just now has no seats,
-        and it may not have heard yet which instances have free slots.
+        An instance that is leaving or has just started holds no seats, and
+        may not know yet which instances have free slots.
         """
         if not isinstance(end, PeerRefused):
             return False
@@ -337,7 +337,7 @@
             return False
         return (
             _lacks_seats(self._plane.snapshot)
-            and self._clock.monotonic() + _SEAT_POLL_S < until
+            and self._clock.monotonic() + _SEAT_POLL_S < wait_deadline
         )
 
     def _may_retry(
@@ -396,8 +396,11 @@
             work, request.content, excluded, may_wait=False, hedge=hedge
         )
         yield local
-        is_foreign = work.origin_region not in (None, work.source_region)
-        if is_foreign:
+        is_from_other_region = work.origin_region not in (
+            None,
+            work.source_region,
+        )
+        if is_from_other_region:
             for target in region_targets(
                 snapshot,
                 self._identity.instance,
@@ -423,7 +426,7 @@
             if self._is_local_wait_shorter(target, work):
                 continue
             yield self._forward(target, request)
-        if is_foreign:
+        if is_from_other_region:
             # A shifted request could block the head of the queue until the
             # cap of its shift allows it.
             return
--- a/chiverun/runtime/forward.py
+++ b/chiverun/runtime/forward.py
@@ -43,7 +43,7 @@
 SOURCE_HEADER = "X-Chiverun-Source"
 # Region of the caller, which may differ from that of the entry instance.
 ORIGIN_HEADER = "X-Chiverun-Origin"
-_PREFIX = "/f/"
+_FORWARD_PREFIX = "/f/"
 
 
 class ForwardHandler:
@@ -102,7 +102,8 @@
             )
         content = Content(
             method=req.method,
-            path=req.target.removeprefix(_PREFIX + work.service) or "/",
+            path=req.target.removeprefix(_FORWARD_PREFIX + work.service)
+            or "/",
             headers=req.headers,
             body=req.body,
             request_id=req.header("x-request-id"),
@@ -137,7 +138,9 @@
             raise ValueError(
                 f"zone {self._zone!r} is not declared by any ticket"
             )
-        name = ServiceName(req.path.removeprefix(_PREFIX).split("/", 1)[0])
+        name = ServiceName(
+            req.path.removeprefix(_FORWARD_PREFIX).split("/", 1)[0]
+        )
         service = state.of(Service).get(name)
         if service is None:
             raise ValueError(f"service {name!r} is not declared by any ticket")
@@ -172,7 +175,7 @@
     clock: "Clock",
     work: Work,
     run: Callable[[], Response],
-    refusal: Outcome = Outcome.NOT_RUN,
+    refusal_outcome: Outcome = Outcome.NOT_RUN,
 ) -> Response:
     """Run a request and delay its response to match the rate of the link.
 
@@ -190,7 +193,7 @@
     if reservation is None:
         return error_response(
             503,
-            refusal,
+            refusal_outcome,
             ResultCode.LINK_CAP,
             f"link to {target} has no free capacity",
         )
--- a/chiverun/runtime/gossip.py
+++ b/chiverun/runtime/gossip.py
@@ -71,7 +71,7 @@
     ctx.send(address, Ping(sequence=sequence, gossip=_make_gossip(ctx, about)))
 
 
-def ping_numbered(
+def send_numbered_ping(
     ctx: "ControlContext", address: Address, about: InstanceId | None
 ) -> None:
     """Send a ping with a new sequence number, apart from the probes."""
@@ -88,7 +88,7 @@
 def ping_zone(ctx: "ControlContext") -> None:
     """Ping all live members of this zone."""
     for row in ctx.members.live_in_zone(ctx.identity.zone):
-        ping_numbered(ctx, row.peer, row.instance)
+        send_numbered_ping(ctx, row.peer, row.instance)
 
 
 def ping_remote(ctx: "ControlContext") -> None:
@@ -96,7 +96,7 @@
     for row in dissemination.contacts_by_zone(
         ctx.members, ctx.identity.zone, ctx.rng
     ):
-        ping_numbered(ctx, row.peer, None)
+        send_numbered_ping(ctx, row.peer, None)
 
 
 def merge(ctx: "ControlContext", content: Gossip) -> None:
@@ -129,30 +129,30 @@
 def _record_advertised_holders(ctx: "ControlContext", advert: Advert) -> None:
     if advert.zone == ctx.identity.zone:
         for claim in advert.seats:
-            mark = SeatHolder(claim.epoch, advert.boot_id)
-            seat_rules.record_holder(ctx.seats, claim.seat, mark)
+            holder = SeatHolder(claim.epoch, advert.boot_id)
+            seat_rules.record_holder(ctx.seats, claim.seat, holder)
 
 
 def _all_holder_records(ctx: "ControlContext") -> tuple[SeatHolderRecord, ...]:
     return tuple(
-        SeatHolderRecord(seat=seat, epoch=mark.epoch, boot_id=mark.boot_id)
-        for seat, mark in ctx.seats.known_holders.items()
+        SeatHolderRecord(seat=seat, epoch=holder.epoch, boot_id=holder.boot_id)
+        for seat, holder in ctx.seats.known_holders.items()
     )
 
 
 def send_holder_records(
     ctx: "ControlContext",
     address: Address,
-    known_holders: tuple[SeatHolderRecord, ...],
+    records: tuple[SeatHolderRecord, ...],
 ) -> None:
     """Send known seat holders to an instance of this zone."""
-    if known_holders:
+    if records:
         ctx.send(
             address,
             SeatHolderRecords(
                 zone=ctx.identity.zone,
                 sender=ctx.identity.peer,
-                known_holders=known_holders,
+                known_holders=records,
             ),
         )
 
--- a/chiverun/runtime/instance.py
+++ b/chiverun/runtime/instance.py
@@ -324,8 +324,8 @@
 
     def _announce_stop(self, seconds: float) -> None:
         """Announce the shutdown repeatedly, since messages may be lost."""
-        until = self._clock.monotonic() + seconds
-        while self._clock.monotonic() < until:
+        deadline = self._clock.monotonic() + seconds
+        while self._clock.monotonic() < deadline:
             self._send_to_control(BeginStop())
             time.sleep(STOP_ANNOUNCE_PERIOD_S)
 
@@ -338,9 +338,9 @@
     def _wait_until(
         self, condition: Callable[[], bool], limit_s: float
     ) -> bool:
-        limit = self._clock.monotonic() + limit_s
+        wait_deadline = self._clock.monotonic() + limit_s
         while not condition():
-            if self._clock.monotonic() >= limit:
+            if self._clock.monotonic() >= wait_deadline:
                 return False
             time.sleep(_WAIT_POLL_S)
         return True
--- a/chiverun/runtime/membersystem.py
+++ b/chiverun/runtime/membersystem.py
@@ -16,7 +16,7 @@
 
 _SEED_PERIOD_S = 1.0
 # Longer, since all instances ping the same few seeds.
-_SEED_IDLE_PERIOD_S = 5.0
+_SEED_JOINED_PERIOD_S = 5.0
 _STARTUP_S = 10.0
 WATCHERS_PER_ZONE = 2
 
@@ -29,7 +29,7 @@
     for row in membership.members_to_check(
         ctx.members, ctx.identity.zone, now
     ):
-        gossip.ping_numbered(ctx, row.peer, row.instance)
+        gossip.send_numbered_ping(ctx, row.peer, row.instance)
     if now < ctx.members.next_probe_at:
         return
     ctx.members.next_probe_at = now + membership.PERIOD_S
@@ -50,7 +50,7 @@
     """Ping one seed per period, so that partitioned zones rejoin."""
     known = {m.peer for m in ctx.members.rows.values() if m.is_live}
     is_new = not known or now - ctx.started_at < _STARTUP_S
-    period_s = _SEED_PERIOD_S if is_new else _SEED_IDLE_PERIOD_S
+    period_s = _SEED_PERIOD_S if is_new else _SEED_JOINED_PERIOD_S
     if now - ctx.seeds_pinged_at < period_s:
         return
     ctx.seeds_pinged_at = now
--- a/chiverun/runtime/seatsystem.py
+++ b/chiverun/runtime/seatsystem.py
@@ -123,7 +123,7 @@
     ):
         return
     seats.gained_announced_at = now
-    known_holders = tuple(
+    records = tuple(
         SeatHolderRecord(
             seat=s,
             epoch=seats.known_holders[s].epoch,
@@ -132,7 +132,7 @@
         for s in seats.gained_seats
     )
     for row in ctx.members.in_zone(ctx.identity.zone):
-        gossip.send_holder_records(ctx, row.peer, known_holders)
+        gossip.send_holder_records(ctx, row.peer, records)
     seats.gained_seats = {
         s: n - 1 for s, n in seats.gained_seats.items() if n > 1
     }
@@ -142,7 +142,7 @@
 
 
 def _confirm_if_proven(ctx: "ControlContext", now: float) -> None:
-    """End the suspension once the seats are proven to be held still.
+    """End the suspension once the seats are proven to be still held.
 
     Only acknowledgements of pings sent after the pause count, since messages
     that were queued during the pause are outdated.
@@ -163,7 +163,7 @@
     elif now - seats.confirm_sent_at >= _CONFIRM_PING_S:
         seats.confirm_sent_at = now
         for row in unsynced:
-            gossip.ping_numbered(ctx, row.peer, row.instance)
+            gossip.send_numbered_ping(ctx, row.peer, row.instance)
 
 
 def _confirm(ctx: "ControlContext", source: str) -> None:
@@ -232,9 +232,9 @@
     if report.record is not None:
         _merge_record(ctx, report.record)
     for claim in report.claims:
-        mark = SeatHolder(claim.epoch, ctx.identity.boot_id)
+        holder = SeatHolder(claim.epoch, ctx.identity.boot_id)
         known = ctx.seats.known_holders.get(claim.seat)
-        if claim.seat in ctx.seats.held or (known and known > mark):
+        if claim.seat in ctx.seats.held or (known and known > holder):
             continue
         ctx.seats.held[claim.seat] = seat_rules.held_after_claim(
             ctx.seats, ctx.state, claim, now
@@ -346,17 +346,17 @@
     """Record seat owners; add unknown owners as members to be probed."""
     now = ctx.clock.monotonic()
     rows = ctx.members.rows
-    lives = {m.boot_id for m in rows.values()}
+    boot_ids = {m.boot_id for m in rows.values()}
     for seat, owner in record.owners.items():
-        mark = SeatHolder(owner.epoch, owner.boot_id)
-        seat_rules.record_holder(ctx.seats, seat, mark)
+        holder = SeatHolder(owner.epoch, owner.boot_id)
+        seat_rules.record_holder(ctx.seats, seat, holder)
         if (
-            owner.boot_id in lives
+            owner.boot_id in boot_ids
             or owner.boot_id in ctx.members.ended
             or owner.peer == ctx.identity.peer
         ):
             continue
-        lives.add(owner.boot_id)
+        boot_ids.add(owner.boot_id)
         # '~' is not allowed in names of instances, so the name is unique.
         name = owner.instance
         if name in rows or name == ctx.identity.instance:
--- a/chiverun/runtime/seattransfer.py
+++ b/chiverun/runtime/seattransfer.py
@@ -37,14 +37,14 @@
     """Request seats from an instance that holds more than this one."""
     if now - ctx.seats.requested_at < seat_rules.REQUEST_PERIOD_S:
         return
-    holder = seat_rules.choose_holder(
+    larger_holder = seat_rules.choose_holder(
         ctx.members, zone.name, len(ctx.seats.held), ctx.rng
     )
-    if holder is None:
+    if larger_holder is None:
         return
     ctx.seats.requested_at = now
     ctx.send(
-        holder.peer,
+        larger_holder.peer,
         SeatRequest(
             instance=ctx.identity.instance,
             boot_id=ctx.identity.boot_id,
@@ -66,11 +66,11 @@
     seats = ctx.seats
     if seats.releasing or seats.suspended_at is not None or ctx.is_leaving:
         return
-    known = len(row.advert.seats) if row.advert else 0
+    advertised = len(row.advert.seats) if row.advert else 0
     in_transfer = sum(
         1 for t in seats.transfers.values() if t.boot_id == message.boot_id
     )
-    count = len(seats.held) - max(message.held, known) - in_transfer
+    count = len(seats.held) - max(message.held, advertised) - in_transfer
     # Every second seat, since adjacent seats share the slots of one server.
     for seat in sorted(seats.held)[::2][: max(0, count // 2)]:
         _release(ctx, seat, message.instance)
@@ -119,7 +119,7 @@
         if ctx.admission.seat_in_use(seat):
             continue
         del ctx.seats.releasing[seat]
-        receiver = _receiver(ctx, releasing)
+        receiver = _choose_receiver(ctx, releasing)
         if receiver is not None:
             owners[seat] = _start_transfer(ctx, receiver, seat, releasing)
         elif ctx.is_leaving:
@@ -133,7 +133,9 @@
     queue_write(ctx, owners, released)
 
 
-def _receiver(ctx: "ControlContext", releasing: Releasing) -> Member | None:
+def _choose_receiver(
+    ctx: "ControlContext", releasing: Releasing
+) -> Member | None:
     row = ctx.members.rows.get(releasing.receiver)
     if row is not None and row.is_live and row.advert is not None:
         return row
@@ -216,11 +218,11 @@
             extra={"seat": message.seat, "age_s": round(age_s, 3)},
         )
         return
-    taken = SeatTransferAck(
+    ack = SeatTransferAck(
         seat=message.seat, epoch=message.epoch, boot_id=message.boot_id
     )
     if message.epoch <= ctx.seats.taken.get(message.seat, 0):
-        ctx.send(message.previous_holder, taken)
+        ctx.send(message.previous_holder, ack)
         return
     known = ctx.seats.known_holders.get(message.seat)
     if known is not None and known > SeatHolder(
@@ -236,13 +238,13 @@
         now + message.long_ms / 1000.0,
     )
     record_gained_seat(ctx, message.seat, message.epoch)
-    ctx.send(message.previous_holder, taken)
-    # The giver also writes the record, but may die before it does.
+    ctx.send(message.previous_holder, ack)
+    # The previous holder also writes the record, but may die before it does.
     owner = own_owner(ctx, message.epoch)
     queue_write(ctx, {message.seat: owner}, {})
 
 
-def on_seat_taken(ctx: "ControlContext", message: SeatTransferAck) -> None:
+def on_transfer_ack(ctx: "ControlContext", message: SeatTransferAck) -> None:
     """End a transfer that its receiver has accepted."""
     transfer = ctx.seats.transfers.get(message.seat)
     if transfer is not None and (transfer.epoch, transfer.boot_id) == (
@@ -256,8 +258,8 @@
     ctx: "ControlContext", seat: SeatIndex, epoch: int
 ) -> None:
     """Record this instance as the holder of a seat and queue announcements."""
-    mark = SeatHolder(epoch, ctx.identity.boot_id)
-    seat_rules.record_holder(ctx.seats, seat, mark)
+    holder = SeatHolder(epoch, ctx.identity.boot_id)
+    seat_rules.record_holder(ctx.seats, seat, holder)
     ctx.seats.gained_seats[seat] = _ANNOUNCE_SENDS
 
 
--- a/chiverun/runtime/storeworker.py
+++ b/chiverun/runtime/storeworker.py
@@ -41,16 +41,16 @@
     from chiverun.integrations.interfaces import KeyValueStore
     from chiverun.runtime.control import ControlPlane
 
-WATCH_S = 10.0
-POLL_S = 5.0
+BLOCKING_READ_S = 10.0
+POLL_PERIOD_S = 5.0
 # Longer for instances that also get tickets from peers: a poll every 5 s by
 # 4,656 instances that do not watch would be 931 reads/s of the store.
-POLL_WITH_PEERS_S = 15.0
+POLL_PERIOD_WITH_PEERS_S = 15.0
 _PEER_ACK_AGE_MAX_S = 3.0
-_RECHECK_S = 1.0
+_RECHECK_PERIOD_S = 1.0
 # With this pause, 144 watchers of 72 zones read an empty store 144 times a
 # second in total.
-_NO_HEAD_PAUSE_S = 1.0
+_EMPTY_STORE_DELAY_S = 1.0
 # Each check reads up to 70 keys; 144 watchers cause 34 reads/s in total.
 BASE_CHECK_PERIOD_S = 300.0
 _RETRY_DELAY_MIN_S = 0.2
@@ -213,7 +213,7 @@
         self._report = report
         self._rng = rng
         self._stopping = threading.Event()
-        self._store_behind_at: int | None = None
+        self._behind_at_number: int | None = None
         self._base_check_at = float("-inf")
         self._retry_delay_s = _RETRY_DELAY_MIN_S
         self._read_at = float("-inf")
@@ -253,7 +253,7 @@
         the thread.
         """
         if self._is_poll_deferred():
-            return 0, _RECHECK_S
+            return 0, _RECHECK_PERIOD_S
         self._read_at = self._plane.clock.monotonic()
         try:
             index = self._follow(index)
@@ -271,15 +271,15 @@
         self._retry_delay_s = _RETRY_DELAY_MIN_S
         if not self._plane.is_watcher():
             if self._is_poll_deferred():
-                return 0, _RECHECK_S * self._rng.uniform(0.8, 1.2)
-            return index, POLL_S * self._rng.uniform(0.8, 1.2)
-        return index, 0.0 if index else _NO_HEAD_PAUSE_S
+                return 0, _RECHECK_PERIOD_S * self._rng.uniform(0.8, 1.2)
+            return index, POLL_PERIOD_S * self._rng.uniform(0.8, 1.2)
+        return index, 0.0 if index else _EMPTY_STORE_DELAY_S
 
     def _is_poll_deferred(self) -> bool:
         """Return whether the next fallback poll is not due yet."""
         now = self._plane.clock.monotonic()
         return (
-            now - self._read_at < POLL_WITH_PEERS_S
+            now - self._read_at < POLL_PERIOD_WITH_PEERS_S
             and not self._plane.is_watcher()
             and self._plane.has_recent_ack(now, _PEER_ACK_AGE_MAX_S)
         )
@@ -303,7 +303,7 @@
 
     def _follow(self, index: int) -> int:
         """Read the head once, or wait for a change; return its index."""
-        wait_s = WATCH_S if index and self._plane.is_watcher() else 0.0
+        wait_s = BLOCKING_READ_S if index and self._plane.is_watcher() else 0.0
         head = self._log.head(index=index if wait_s else 0, wait_s=wait_s)
         state = self._plane.state
         entry = head.entry
@@ -316,7 +316,7 @@
         if entry.number < state.number:
             self._restore_head(entry.number)
             return 0
-        self._store_behind_at = None
+        self._behind_at_number = None
         if entry.number > state.number:
             self._read_missing(state.number, entry)
         else:
@@ -332,10 +332,10 @@
 
     def _restore_head(self, number: int) -> None:
         """Write missing tickets to a store that stays behind."""
-        if self._store_behind_at != number:
+        if self._behind_at_number != number:
             # A random wait, so that one of several instances repairs the store
             # first.
-            self._store_behind_at = number
+            self._behind_at_number = number
             self._stopping.wait(self._rng.uniform(0.5, 1.5))
             return
         if not self._plane.is_watcher():
--- a/chiverun/runtime/ticketspread.py
+++ b/chiverun/runtime/ticketspread.py
@@ -84,7 +84,7 @@
                 record_fork(ctx, exc.message)
             break
         ctx.recent.append(entry)
-    _announce_new_state(ctx, before)
+    _publish_new_state(ctx, before)
 
 
 def adopt_state(ctx: "ControlContext", state: State) -> None:
@@ -107,10 +107,10 @@
         )
     ctx.state = state
     ctx.recent.clear()
-    _announce_new_state(ctx, before)
+    _publish_new_state(ctx, before)
 
 
-def _announce_new_state(ctx: "ControlContext", before: State) -> None:
+def _publish_new_state(ctx: "ControlContext", before: State) -> None:
     if ctx.state.number == before.number:
         return
     now = ctx.clock.monotonic()
--- a/tests/runtime/test_drains.py
+++ b/tests/runtime/test_drains.py
@@ -101,8 +101,8 @@
             case "report":
                 self.plane.handle(ServersLeaving(servers=frozenset({_SERVER})))
             case "peer":
-                sign = DrainNotice(server=_SERVER, age_ms=100)
-                self._receive("b1-1", "b1", 2, (sign,))
+                notice = DrainNotice(server=_SERVER, age_ms=100)
+                self._receive("b1-1", "b1", 2, (notice,))
             case "shed":
                 work = cap_states.work(self.clock, "b")
                 grant = self.admission.try_acquire(work)
@@ -141,7 +141,7 @@
 
     @params("report", "peer", "shed", "ticket")
     def test_one_report_alone_stops_new_work(self, kind):
-        """Guards against waiting for the instance list, which lags by 3 s."""
+        """Guards against waiting over 3 s for the lagging instance list."""
         self._report_draining(kind)
         self._advance(0.1)
         self.assertEqual(0, self._admitted_count())
--- a/tests/runtime/test_forward.py
+++ b/tests/runtime/test_forward.py
@@ -48,11 +48,11 @@
         self.assertAlmostEqual(1000.51, self.clock.monotonic(), delta=0.05)
 
     @params(Outcome.NOT_RUN, Outcome.UNKNOWN)
-    def test_request_is_refused_before_it_runs(self, refusal):
+    def test_request_is_refused_before_it_runs(self, refusal_outcome):
         """Guards against a run whose response the link cannot carry."""
         self.links.reserve("a", 200_000, 2.0)
-        reply = self._pace(10, refusal=refusal)
-        expected = (refusal.value, str(int(ResultCode.LINK_CAP)))
+        reply = self._pace(10, refusal_outcome=refusal_outcome)
+        expected = (refusal_outcome.value, str(int(ResultCode.LINK_CAP)))
         self.assertEqual((0, expected), (self.runs, _outcome(reply)))
 
     def test_late_response_is_unknown(self):
--- a/tests/runtime/test_seat_safety.py
+++ b/tests/runtime/test_seat_safety.py
@@ -28,7 +28,7 @@
 _KINDS = tuple(k for k in Kind if k is not Kind.ISOLATE)
 _STORE = {Kind.OUTAGE, Kind.STORE_CUT, Kind.RESTORE}
 # No shrinking, which takes minutes after a failure.
-_PLAIN = settings(
+_NO_SHRINKING = settings(
     deadline=None,
     derandomize=True,
     phases=(Phase.explicit, Phase.generate),
@@ -112,13 +112,13 @@
             ]
             self._check(FaultRun(seed=seed), faults)
 
-    @settings(_PLAIN, max_examples=60)
+    @settings(_NO_SHRINKING, max_examples=60)
     @given(st.integers(0, 1000), _faults(_KINDS))
     def test_random_faults(self, seed, faults) -> None:
         """Guards against violations that need a sequence of faults."""
         self._check(FaultRun(seed=seed), faults)
 
-    @settings(_PLAIN, max_examples=30)
+    @settings(_NO_SHRINKING, max_examples=30)
     @given(st.integers(0, 1000), _faults(_KINDS_REACHING_STORE))
     def test_holder_that_reaches_only_the_store(self, seed, faults) -> None:
         """Guards against claims by peers that a live holder cannot reach."""
--- a/tests/runtime/test_seatsystem.py
+++ b/tests/runtime/test_seatsystem.py
@@ -245,7 +245,7 @@
         self.assertEqual({}, one.plane.seats.transfers)
 
     def test_receiver_writes_the_record(self) -> None:
-        """Guards against a wrong owner if the giver dies before it writes."""
+        """Guards against a wrong owner if the previous holder dies early."""
         planes, (one, two) = self._planes(2, **_QUIET)
         planes.cut_from_store.add(two.peer)
         two.plane.handle(BeginStop())
@@ -269,14 +269,16 @@
         one.plane.send = lambda to, m: (sent.append((to, m)), send(to, m))
         planes.run_until(lambda: len(one.held) == 6, 30)
         planes.run(2.0)
-        gained_seats = [
+        announcements = [
             m
             for to, m in sent
             if to == two.peer
             and isinstance(m, SeatHolderRecords)
-            and any(mark.epoch >= 2 * CLAIM_EPOCHS for mark in m.known_holders)
+            and any(
+                holder.epoch >= 2 * CLAIM_EPOCHS for holder in m.known_holders
+            )
         ]
-        self.assertGreaterEqual(len(gained_seats), 4)
+        self.assertGreaterEqual(len(announcements), 4)
 
     def test_holder_cut_from_its_peers_reads_the_record(self) -> None:
         """Guards against a partitioned holder that uses claimed seats.
