--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -42,7 +42,7 @@
 from chiverun.runtime.execution import HedgeLimits
 from chiverun.runtime.forward import CLASS_HEADER
 from chiverun.runtime.forward import ORIGIN_HEADER
-from chiverun.runtime.forward import pace_reply
+from chiverun.runtime.forward import pace_response
 from chiverun.runtime.forward import SOURCE_HEADER
 from chiverun.runtime.request import ParsedRequest
 from chiverun.runtime.request import RequestParser
@@ -129,13 +129,13 @@
         started = self._clock.monotonic()
         try:
             with self._telemetry.span("entry", parent=req.headers):
-                reply = self._handle(req)
+                response = self._handle(req)
         finally:
             with self._lock:
                 self.in_flight -= 1
-        self._telemetry.requests.add(1, {"status": reply.status})
+        self._telemetry.requests.add(1, {"status": response.status})
         self._telemetry.latency.record(self._clock.monotonic() - started)
-        return reply
+        return response
 
     def _handle(self, req: IncomingRequest) -> Response:
         self._issuers.refresh(self._plane.snapshot, self._clock.monotonic())
@@ -172,7 +172,7 @@
         regions = self._plane.snapshot.state.of(Region)
         if source not in regions or source == request.work.source_region:
             return self._run_or_replay(req, request, key)
-        return pace_reply(
+        return pace_response(
             self._links,
             self._clock,
             dataclasses.replace(request.work, source_region=source),
--- a/chiverun/runtime/execution.py
+++ b/chiverun/runtime/execution.py
@@ -122,26 +122,28 @@
         with self._telemetry.span("choice", server=grant.server.name):
             pass
         plan = self._hedge_plan(work, hedge)
-        race = (
+        hedged_request = (
             self._hedges.start(
                 lambda cancellation: self._send(grant, content, cancellation)
             )
             if plan is not None
             else None
         )
-        if race is None:
+        if hedged_request is None:
             end = self._send(grant, content, None)
             return Attempt(end=end, server=grant.server.name)
-        race.wait(plan.delay_s)
-        second = None
-        if not race.is_any_finished() and hedge.budget.withdraw():
-            second = self._start_hedge(race, grant, content, excluded)
-            if second is None:
+        hedged_request.wait(plan.delay_s)
+        hedge_server = None
+        if not hedged_request.is_any_finished() and hedge.budget.withdraw():
+            hedge_server = self._start_hedge(
+                hedged_request, grant, content, excluded
+            )
+            if hedge_server is None:
                 hedge.budget.refund()
         return Attempt(
-            end=race.result(),
+            end=hedged_request.result(),
             server=grant.server.name,
-            hedge_server=second,
+            hedge_server=hedge_server,
         )
 
     def expected_wait_s(self, work: "Work") -> float:
@@ -162,7 +164,7 @@
 
     def _start_hedge(
         self,
-        race: "HedgedRequest",
+        hedged_request: "HedgedRequest",
         first: "Grant",
         content: Content,
         excluded: frozenset[ServerName],
@@ -174,7 +176,7 @@
             )
         except ChiverunError:
             return None
-        is_started = race.add(
+        is_started = hedged_request.add(
             lambda cancellation: self._send(grant, content, cancellation)
         )
         if not is_started:
--- a/chiverun/runtime/forward.py
+++ b/chiverun/runtime/forward.py
@@ -71,7 +71,7 @@
         self._is_refusing = False
         self.in_flight = 0
 
-    def refuse_new(self) -> None:
+    def refuse_new_requests(self) -> None:
         """Refuse further requests, which peers then send elsewhere."""
         self._is_refusing = True
 
@@ -109,12 +109,12 @@
             request_id=req.header("x-request-id"),
         )
         if work.source_region == self._region():
-            return reply_to_peer(self._run(work, content))
-        return pace_reply(
+            return make_peer_response(self._run(work, content))
+        return pace_response(
             self._links,
             self._clock,
             work,
-            lambda: reply_to_peer(self._run(work, content)),
+            lambda: make_peer_response(self._run(work, content)),
         )
 
     def _run(self, work: Work, content: Content) -> ExchangeEnd:
@@ -170,7 +170,7 @@
     )
 
 
-def pace_reply(
+def pace_response(
     links: "Links",
     clock: "Clock",
     work: Work,
@@ -198,15 +198,15 @@
             f"link to {target} has no free capacity",
         )
     try:
-        reply = run()
+        response = run()
     except BaseException:
         links.cancel(reservation)
         raise
-    actual = message_bytes(reply.headers, reply.body)
-    if reply.status == 200:
+    actual = message_bytes(response.headers, response.body)
+    if response.status == 200:
         links.note_response(name, actual)
     if links.pace(reservation, actual, work.deadline):
-        return reply
+        return response
     return error_response(
         502,
         Outcome.UNKNOWN,
@@ -215,8 +215,8 @@
     )
 
 
-def reply_to_peer(end: ExchangeEnd) -> Response:
-    """Return the reply that reports the end of an exchange to a peer."""
+def make_peer_response(end: ExchangeEnd) -> Response:
+    """Return the response that reports the end of an exchange to a peer."""
     classified = classify(end)
     if isinstance(end, Answered):
         return Response(
--- a/chiverun/runtime/instance.py
+++ b/chiverun/runtime/instance.py
@@ -294,7 +294,7 @@
         for server in self._servers:
             server.close_connections()
         self._announce_stop(self._cfg.ttl_s + STOP_SPREAD_S)
-        self._forward.refuse_new()
+        self._forward.refuse_new_requests()
         if not self._wait_until(
             lambda: self._in_flight() == 0, self._longest_request_s()
         ):
--- a/tests/runtime/test_entry.py
+++ b/tests/runtime/test_entry.py
@@ -152,7 +152,7 @@
         headers = {k.replace("_", "-"): v for k, v in headers.items()}
         if key:
             headers["idempotency-key"] = key
-        reply = entry.handle(
+        response = entry.handle(
             IncomingRequest(
                 method=method,
                 path="/s/desk/x",
@@ -162,7 +162,7 @@
                 remote="",
             )
         )
-        found = dict(reply.headers)
+        found = dict(response.headers)
         return found["X-Chiverun-Outcome"], int(found["X-Chiverun-Code"])
 
     @params(
@@ -347,7 +347,7 @@
             telemetry=_Telemetry(),
             threads=40,
         )
-        reply = forward.handle(
+        response = forward.handle(
             IncomingRequest(
                 method="GET",
                 path="/f/desk/x",
@@ -364,7 +364,7 @@
         self.assertEqual([] if deadline is None else [deadline], works)
         if deadline is None:
             self.assertEqual(
-                "not-run", msgspec.json.decode(reply.body)["outcome"]
+                "not-run", msgspec.json.decode(response.body)["outcome"]
             )
 
 
--- a/tests/runtime/test_forward.py
+++ b/tests/runtime/test_forward.py
@@ -11,16 +11,16 @@
 from chiverun.integrations.web import IncomingRequest
 from chiverun.integrations.web import Response
 from chiverun.runtime.forward import ForwardHandler
-from chiverun.runtime.forward import pace_reply
+from chiverun.runtime.forward import pace_response
 from tests.core import cap_states
 
 
-def _outcome(reply: Response) -> tuple[str, str]:
-    headers = dict(reply.headers)
+def _outcome(response: Response) -> tuple[str, str]:
+    headers = dict(response.headers)
     return headers["X-Chiverun-Outcome"], headers["X-Chiverun-Code"]
 
 
-class PaceReplyTest(unittest.TestCase):
+class PaceResponseTest(unittest.TestCase):
     def setUp(self):
         self.clock = ManualClock()
         self.links = Links(
@@ -39,26 +39,26 @@
             return Response(status=200, body=b"x" * size)
 
         work = cap_states.work(self.clock, "a", deadline_s=2.0)
-        return pace_reply(self.links, self.clock, work, run, **changes)
+        return pace_response(self.links, self.clock, work, run, **changes)
 
     def test_response_waits_for_the_rate(self):
         """Guards against a response that exceeds the rate of the link."""
-        reply = self._pace(50_000)
-        self.assertEqual(200, reply.status)
+        response = self._pace(50_000)
+        self.assertEqual(200, response.status)
         self.assertAlmostEqual(1000.51, self.clock.monotonic(), delta=0.05)
 
     @params(Outcome.NOT_RUN, Outcome.UNKNOWN)
     def test_request_is_refused_before_it_runs(self, refusal_outcome):
         """Guards against a run whose response the link cannot carry."""
         self.links.reserve("a", 200_000, 2.0)
-        reply = self._pace(10, refusal_outcome=refusal_outcome)
+        response = self._pace(10, refusal_outcome=refusal_outcome)
         expected = (refusal_outcome.value, str(int(ResultCode.LINK_CAP)))
-        self.assertEqual((0, expected), (self.runs, _outcome(reply)))
+        self.assertEqual((0, expected), (self.runs, _outcome(response)))
 
     def test_late_response_is_unknown(self):
         """Guards against the outcome "not run" for a request that has run."""
-        reply = self._pace(500_000)
-        self.assertEqual(Outcome.UNKNOWN.value, _outcome(reply)[0])
+        response = self._pace(500_000)
+        self.assertEqual(Outcome.UNKNOWN.value, _outcome(response)[0])
         self.assertLessEqual(self.clock.monotonic(), 1002.01)
 
     def test_failed_run_cancels_its_reservation(self):
@@ -70,7 +70,7 @@
         for _ in range(50):
             work = cap_states.work(self.clock, "a")
             with self.assertRaises(RuntimeError):
-                pace_reply(self.links, self.clock, work, fail)
+                pace_response(self.links, self.clock, work, fail)
         self.assertEqual(1.0, self.links.headroom()["a"])
 
 
@@ -86,8 +86,8 @@
             telemetry=None,
             threads=4,
         )
-        forward.refuse_new()
-        reply = forward.handle(
+        forward.refuse_new_requests()
+        response = forward.handle(
             IncomingRequest(
                 method="GET",
                 path="/f/s/read",
@@ -98,5 +98,5 @@
             )
         )
         expected = (Outcome.NOT_RUN.value, str(int(ResultCode.LEAVING)))
-        self.assertEqual(expected, _outcome(reply))
+        self.assertEqual(expected, _outcome(response))
         self.assertEqual(0, forward.in_flight)
--- a/tests/runtime/test_public.py
+++ b/tests/runtime/test_public.py
@@ -48,7 +48,7 @@
             telemetry=None,
             ttl_s=2.0,
         )
-        reply = public.handle(
+        response = public.handle(
             IncomingRequest(
                 method="POST",
                 path="/v1/keys",
@@ -58,8 +58,8 @@
                 remote="",
             )
         )
-        found = msgspec.json.decode(reply.body)
-        self.assertEqual(status, reply.status)
+        found = msgspec.json.decode(response.body)
+        self.assertEqual(status, response.status)
         if code is None:
             self.assertEqual(2, len(found["keys"]))
         else:
--- a/tests/runtime/test_ticketspread.py
+++ b/tests/runtime/test_ticketspread.py
@@ -410,7 +410,7 @@
         worker.stop()
         self.assertEqual([1.0, 2.0], [r.asked_at for r in reports])
 
-    def test_state_chunks_that_do_not_fit(self):
+    def test_malformed_state_chunks(self):
         """Guards against malformed chunks that raise or mix two states."""
         net = joined(zones=1, per_zone=1)
         plane = net.planes["z0-0"]
