--- a/chiverun/runtime/context.py
+++ b/chiverun/runtime/context.py
@@ -1,4 +1,4 @@
-"""What the systems of the control plane run over."""
+"""State and dependencies shared by the systems of the control plane."""
 
 import dataclasses
 import random
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Identity:
-    """Who this instance is."""
+    """Name, zone and addresses of this instance."""
 
     instance: InstanceId
     boot_id: BootId
@@ -40,7 +40,7 @@
 
 
 class ControlContext:
-    """Tables and surroundings of one instance's control plane.
+    """Tables and dependencies of one instance's control plane.
 
     Parameters
     ----------
@@ -48,11 +48,12 @@
     clock : Clock
     rng : random.Random
     admission : Admission
-        Read for free slots and seats in use; updated with each snapshot.
+        Provides free slots and seats in use; updated with each snapshot.
     send : callable
-        Sends a message to a peer address; loss is allowed.
+        Sends a message to a peer address; the message may be lost.
     submit : callable
-        Hands a job to the store worker, which reports back by `handle`.
+        Queues a job for the store worker; its report is passed to
+        `ControlPlane.handle`.
     """
 
     snapshot: "Snapshot"
@@ -81,7 +82,7 @@
         self.drains = DrainTable()
         self.incarnation = int(clock.wall() * 1000)
         self.is_leaving = False
-        self.is_handing_over = False
+        self.is_transferring_seats = False
         self.fork: str | None = None
         self.in_force_at = clock.monotonic()
         self.sequence = 0
--- a/chiverun/runtime/control.py
+++ b/chiverun/runtime/control.py
@@ -1,10 +1,10 @@
 """The control plane of an instance.
 
 `ControlPlane` is the only writer of its tables. Each tick runs the systems
-over them and publishes a snapshot; messages are handled as they come. It
-does no input or output itself: it sends through a callable and hands store
-jobs to another, so that tests drive it with a manual clock. `ControlActor`
-in `runtime.instance` runs it.
+over them and publishes a snapshot; messages are handled on arrival. It
+performs no I/O: messages and store jobs are passed to callables, so that
+tests can run it with a manual clock. `ControlActor` in `runtime.instance`
+runs it.
 """
 
 from typing import Any
@@ -59,8 +59,8 @@
 class ControlPlane(ControlContext):
     """Tables, systems and the published snapshot of one instance."""
 
-    def __init__(self, **surroundings: Any) -> None:
-        super().__init__(**surroundings)
+    def __init__(self, **dependencies: Any) -> None:
+        super().__init__(**dependencies)
         self.snapshot = publishing.make_snapshot(self, self.clock.monotonic())
 
     def tick(self) -> None:
@@ -74,7 +74,7 @@
         publishing.publish(self, now)
 
     def receive(self, message: Message) -> None:
-        """Handle a message of a peer."""
+        """Handle a message from a peer."""
         seatsystem.suspend_after_pause(self, self.clock.monotonic())
         match message:
             case Ping(sequence=sequence, gossip=content):
@@ -101,12 +101,12 @@
             case SeatTransfer():
                 seattransfer.on_seat_transfer(self, message)
             case SeatTransferAck():
-                seattransfer.on_seat_taken(self, message)
+                seattransfer.on_transfer_ack(self, message)
             case SeatHolderRecords():
-                gossip.on_marks(self, message)
+                gossip.on_holder_records(self, message)
 
     def handle(self, event: Event) -> None:
-        """Handle a report of the store worker or an order of the instance."""
+        """Handle a report or a command from another thread of this process."""
         seatsystem.suspend_after_pause(self, self.clock.monotonic())
         match event:
             case SeatsClaimed():
@@ -118,37 +118,39 @@
             case EntriesRead(entries=entries):
                 ticketspread.apply_entries(self, entries)
             case HeadForked(reason=reason):
-                ticketspread.note_fork(self, reason)
+                ticketspread.record_fork(self, reason)
             case StateRead(state=state):
                 ticketspread.adopt_state(self, state)
             case ServersLeaving(servers=servers):
-                drainsystem.note_drains(self, servers, self.clock.monotonic())
+                drainsystem.record_draining(
+                    self, servers, self.clock.monotonic()
+                )
             case BeginStop():
                 self.is_leaving = True
                 publishing.publish(self, self.clock.monotonic())
                 gossip.ping_zone(self)
                 gossip.ping_remote(self)
             case TransferSeats():
-                self.is_handing_over = True
+                self.is_transferring_seats = True
 
     @property
-    def has_handed_over(self) -> bool:
-        """Whether no seat is left here after `TransferSeats`."""
+    def has_transferred_seats(self) -> bool:
+        """Whether all seats have been handed over after `TransferSeats`."""
         seats = self.seats
-        return self.is_handing_over and not (
+        return self.is_transferring_seats and not (
             seats.held
             or seats.releasing
             or seats.transfers
             or seats.unwritten_releases
         )
 
-    def hears_peers(self, now: float, within_s: float) -> bool:
-        """Tell whether a zone peer has acknowledged a ping lately."""
+    def has_recent_ack(self, now: float, within_s: float) -> bool:
+        """Return whether a peer of the zone has acknowledged a ping lately."""
         return any(
             now - m.acked_at <= within_s
             for m in self.members.in_zone(self.identity.zone)
         )
 
     def is_watcher(self) -> bool:
-        """Tell whether this instance watches the store for its zone."""
+        """Return whether this instance watches the store for its zone."""
         return membersystem.is_watcher(self)
--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -1,4 +1,4 @@
-"""Requests of callers: keys, placement, attempts."""
+"""Handling of callers' requests: idempotency keys, placement, attempts."""
 
 import dataclasses
 import threading
@@ -42,7 +42,7 @@
 from chiverun.runtime.execution import HedgeLimits
 from chiverun.runtime.forward import CLASS_HEADER
 from chiverun.runtime.forward import ORIGIN_HEADER
-from chiverun.runtime.forward import pace_reply
+from chiverun.runtime.forward import pace_response
 from chiverun.runtime.forward import SOURCE_HEADER
 from chiverun.runtime.request import ParsedRequest
 from chiverun.runtime.request import RequestParser
@@ -65,20 +65,20 @@
     from chiverun.runtime.control import Identity
     from chiverun.runtime.execution import Executor
 
-# Marks a request that an instance passes on to the issuer of its key.
+# Marks a request that has been forwarded to the issuer of its key.
 ISSUER_HEADER = "X-Chiverun-Issuer"
-# Placements that ended with proof that nothing ran may be tried again this
-# often; each takes part of the deadline.
+# Limit of placements per request that may end without running it; each one
+# uses up a part of the deadline.
 PLACEMENTS_MAX = 4
-_NO_SEAT_PAUSE_S = 0.05
-# A repeatable request waits so long at an instance without seats; its caller
-# may know of no other instance yet.
-READ_SEAT_WAIT_S = 0.5
+_SEAT_POLL_S = 0.05
+# Longest wait of a repeatable request at an instance without seats, as its
+# caller may not know another instance yet.
+REPEATABLE_SEAT_WAIT_S = 0.5
 
 
 @dataclasses.dataclass(kw_only=True)
 class _Progress:
-    """Attempts made so far for one request."""
+    """Remaining attempts and excluded servers of one request."""
 
     attempts_left: int
     placements_left: int = PLACEMENTS_MAX
@@ -105,7 +105,7 @@
         threads: int = DEFAULT_THREADS,
     ) -> None:
         self._long_threads = LongThreads(threads=threads)
-        self._me = identity
+        self._identity = identity
         self._clock = clock
         self._plane = plane
         self._executor = executor
@@ -129,20 +129,20 @@
         started = self._clock.monotonic()
         try:
             with self._telemetry.span("entry", parent=req.headers):
-                reply = self._handle(req)
+                response = self._handle(req)
         finally:
             with self._lock:
                 self.in_flight -= 1
-        self._telemetry.requests.add(1, {"status": reply.status})
+        self._telemetry.requests.add(1, {"status": response.status})
         self._telemetry.latency.record(self._clock.monotonic() - started)
-        return reply
+        return response
 
     def _handle(self, req: IncomingRequest) -> Response:
         self._issuers.refresh(self._plane.snapshot, self._clock.monotonic())
         try:
             request = self._reader.read(req)
         except ChiverunError as exc:
-            # An earlier try with the same key may have run.
+            # An earlier request with the same key may have run.
             key = IdempotencyKey(req.header("idempotency-key"))
             outcome = self._keys.outcome(key)
             return error_response(400, outcome, exc.code, exc.message)
@@ -161,23 +161,24 @@
                 428,
                 Outcome.NOT_RUN,
                 ResultCode.KEY_REQUIRED,
-                f"class {request.work.request_class.name} may not be "
-                "repeated; get an Idempotency-Key by POST /v1/keys",
+                f"class {request.work.request_class.name} is not "
+                "repeatable and needs an Idempotency-Key header; POST "
+                "/v1/keys issues keys",
             )
         parts = parse_key(key)
-        if parts is not None and parts.instance != self._me.instance:
-            return self._ask_issuer(req, request, key, parts.instance)
+        if parts is not None and parts.instance != self._identity.instance:
+            return self._forward_to_issuer(req, request, key, parts.instance)
         source = RegionName(req.header(SOURCE_HEADER.lower()))
         regions = self._plane.snapshot.state.of(Region)
         if source not in regions or source == request.work.source_region:
             return self._run_or_replay(req, request, key)
-        return pace_reply(
+        return pace_response(
             self._links,
             self._clock,
             dataclasses.replace(request.work, source_region=source),
             lambda: self._run_or_replay(req, request, key),
             # An earlier request with this key may have run.
-            refusal=Outcome.UNKNOWN,
+            refusal_outcome=Outcome.UNKNOWN,
         )
 
     def _run_or_replay(
@@ -210,34 +211,38 @@
             self._keys.finish(key, result)
         return to_response(result)
 
-    def _ask_issuer(
+    def _forward_to_issuer(
         self,
         req: IncomingRequest,
         request: ParsedRequest,
         key: IdempotencyKey,
         instance: InstanceId,
     ) -> Response:
-        """Pass a request on to the instance that issued its key.
+        """Forward a request to the instance that issued its key.
 
-        Only the issuer may say that it was not run: another attempt with
-        the same key may have reached it before.
+        Only the issuer can report that the request has not run, since an
+        earlier attempt with the same key may have reached it.
         """
         if req.header(ISSUER_HEADER.lower()):
-            # The asking instance has an old address of the issuer.
-            return unknown_outcome_response(key, "its issuer has moved")
+            # The forwarding instance has an outdated address of the issuer.
+            return unknown_outcome_response(
+                key, "the address of its issuer is outdated"
+            )
         issuer = self._issuers.find(instance)
         if issuer is None:
             return unknown_outcome_response(
-                key, "its issuer is not known to be live"
+                key, "its issuer is not known to be alive"
             )
         if self._pace_request(issuer, request) is not None:
             return unknown_outcome_response(
-                key, "the link to its issuer has no room"
+                key, "the link to its issuer has no free capacity"
             )
         headers = backend_headers(req.headers)
-        self._name_regions(headers, request.work)
+        self._set_region_headers(headers, request.work)
         headers[ISSUER_HEADER] = instance
-        headers["X-Deadline-Ms"] = str(self._left_ms(request.work.deadline))
+        headers["X-Deadline-Ms"] = str(
+            self._remaining_ms(request.work.deadline)
+        )
         self._telemetry.inject(headers)
         end = self._backends.exchange(
             issuer.addresses.entry,
@@ -255,9 +260,9 @@
         )
         match end:
             case PeerRefused(code=ResultCode.REQUEST_MALFORMED):
-                # It was refused before its key was looked up.
+                # The issuer rejected the request before it looked up the key.
                 return unknown_outcome_response(
-                    key, "its issuer could not read it"
+                    key, "its issuer rejected the request as malformed"
                 )
             case Answered() | PeerRefused():
                 return to_response(make_result(end))
@@ -266,61 +271,62 @@
                     key, "its issuer did not answer"
                 )
 
-    def _name_regions(self, headers: dict[str, str], work: Work) -> None:
+    def _set_region_headers(self, headers: dict[str, str], work: Work) -> None:
         headers[SOURCE_HEADER] = work.source_region
         headers[ORIGIN_HEADER] = work.origin_region or work.source_region
 
-    def _left_ms(self, deadline: float) -> int:
+    def _remaining_ms(self, deadline: float) -> int:
         return max(1, int((deadline - self._clock.monotonic()) * 1000))
 
     # Attempts.
 
     def _run(self, request: ParsedRequest) -> StoredResult:
-        """Run a request; long ones may hold only a part of the threads."""
+        """Run a request; long ones may occupy only a part of the threads."""
         if not request.work.is_long:
-            return self._run_placed(request)
+            return self._run_with_retries(request)
         if not self._long_threads.try_enter():
             return make_result(PeerRefused(code=ResultCode.QUEUE_FULL))
         try:
-            return self._run_placed(request)
+            return self._run_with_retries(request)
         finally:
             self._long_threads.leave()
 
-    def _run_placed(self, request: ParsedRequest) -> StoredResult:
-        """Place a request until it is answered or may not be tried again."""
+    def _run_with_retries(self, request: ParsedRequest) -> StoredResult:
+        """Place a request until it is answered or must not be retried."""
         self._budget.deposit()
         progress = _Progress(attempts_left=request.work.request_class.attempts)
-        seats_until = self._seats_until(request)
+        seat_wait_deadline = self._seat_wait_deadline(request)
         end: ExchangeEnd = PeerRefused(code=ResultCode.NO_CAPACITY)
         while progress.placements_left > 0:
-            attempt = self._place(request, progress)
+            attempt = self._try_placements(request, progress)
             end = attempt.end
-            if self._may_wait_for_seats(end, request, seats_until):
-                time.sleep(_NO_SEAT_PAUSE_S)
+            if self._may_wait_for_seats(end, request, seat_wait_deadline):
+                time.sleep(_SEAT_POLL_S)
                 continue
-            if not self._may_try_again(attempt, progress, request):
+            if not self._may_retry(attempt, progress, request):
                 break
         return make_result(end, may_have_run=progress.may_have_run)
 
-    def _seats_until(self, request: ParsedRequest) -> float:
+    def _seat_wait_deadline(self, request: ParsedRequest) -> float:
         """Return until when a request waits at an instance without seats.
 
-        An unrepeatable one waits to its deadline: its key is of no use
-        elsewhere.
+        One that is not repeatable waits until its deadline, since no other
+        instance accepts its key.
         """
         if not request.work.request_class.repeatable:
             return request.work.deadline
         return min(
-            request.work.deadline, self._clock.monotonic() + READ_SEAT_WAIT_S
+            request.work.deadline,
+            self._clock.monotonic() + REPEATABLE_SEAT_WAIT_S,
         )
 
     def _may_wait_for_seats(
-        self, end: ExchangeEnd, request: ParsedRequest, until: float
+        self, end: ExchangeEnd, request: ParsedRequest, wait_deadline: float
     ) -> bool:
-        """Tell whether a request that nothing ran is placed again.
+        """Return whether a request is placed again until seats are found.
 
-        An instance that is leaving or has started just now has no seats,
-        and it may not have heard yet which instances have free slots.
+        An instance that is leaving or has just started holds no seats, and
+        may not know yet which instances have free slots.
         """
         if not isinstance(end, PeerRefused):
             return False
@@ -331,10 +337,10 @@
             return False
         return (
             _lacks_seats(self._plane.snapshot)
-            and self._clock.monotonic() + _NO_SEAT_PAUSE_S < until
+            and self._clock.monotonic() + _SEAT_POLL_S < wait_deadline
         )
 
-    def _may_try_again(
+    def _may_retry(
         self, attempt: Attempt, progress: _Progress, request: ParsedRequest
     ) -> bool:
         progress.placements_left -= 1
@@ -347,7 +353,7 @@
             case Outcome.ANSWERED:
                 return False
             case Outcome.NOT_RUN:
-                # A refusal by admission has been tried everywhere.
+                # After a refusal by admission, all placements have been tried.
                 return attempt.server is not None and self._has_time(request)
             case Outcome.UNKNOWN:
                 progress.may_have_run = True
@@ -362,8 +368,10 @@
     def _has_time(self, request: ParsedRequest) -> bool:
         return self._clock.monotonic() < request.work.deadline
 
-    def _place(self, request: ParsedRequest, progress: _Progress) -> Attempt:
-        """Try the places in order until one takes the request."""
+    def _try_placements(
+        self, request: ParsedRequest, progress: _Progress
+    ) -> Attempt:
+        """Try the placements in order until one accepts the request."""
         attempt = Attempt(end=PeerRefused(code=ResultCode.NO_CAPACITY))
         for attempt in self._placements(request, progress):
             if not isinstance(attempt.end, PeerRefused):
@@ -388,31 +396,45 @@
             work, request.content, excluded, may_wait=False, hedge=hedge
         )
         yield local
-        is_foreign = work.origin_region not in (None, work.source_region)
-        if is_foreign:
+        is_from_other_region = work.origin_region not in (
+            None,
+            work.source_region,
+        )
+        if is_from_other_region:
             for target in region_targets(
-                snapshot, self._me.instance, work.origin_region, work.service
+                snapshot,
+                self._identity.instance,
+                work.origin_region,
+                work.service,
             ):
                 yield self._forward(target, request)
         targets = overflow_targets(
-            snapshot, self._me.instance, self._me.zone, work.service, now
+            snapshot,
+            self._identity.instance,
+            self._identity.zone,
+            work.service,
+            now,
         )
         if not targets and _lacks_seats(snapshot):
             targets = region_targets(
-                snapshot, self._me.instance, work.source_region, work.service
+                snapshot,
+                self._identity.instance,
+                work.source_region,
+                work.service,
             )
         for target in targets:
-            if self._is_sooner_here(target, work):
+            if self._is_local_wait_shorter(target, work):
                 continue
             yield self._forward(target, request)
-        if is_foreign:
-            # It could wait at the head of a queue for the cap of a shift.
+        if is_from_other_region:
+            # A shifted request could block the head of the queue until the
+            # cap of its shift allows it.
             return
         yield self._executor.run(
             work, request.content, excluded, may_wait=True, hedge=hedge
         )
 
-    def _is_sooner_here(self, target: Target, work: Work) -> bool:
+    def _is_local_wait_shorter(self, target: Target, work: Work) -> bool:
         if target.region == work.source_region:
             return False
         return self._executor.expected_wait_s(work) < REGION_DETOUR_S
@@ -428,7 +450,7 @@
         headers["X-Request-Id"] = content.request_id
         headers["X-Deadline-Epoch-Ms"] = epoch_ms(self._clock, work.deadline)
         headers[CLASS_HEADER] = work.request_class.name
-        self._name_regions(headers, work)
+        self._set_region_headers(headers, work)
         with self._telemetry.span("attempt", zone=target.zone):
             self._telemetry.inject(headers)
             end = self._backends.exchange(
@@ -452,7 +474,7 @@
     def _pace_request(
         self, target: Target, request: ParsedRequest
     ) -> Attempt | None:
-        """Wait for the link's rate; return a refusal if it has no room."""
+        """Wait for the link's rate; return a refusal if it is at its cap."""
         work = request.work
         if target.region == work.source_region:
             return None
--- a/chiverun/runtime/execution.py
+++ b/chiverun/runtime/execution.py
@@ -32,8 +32,8 @@
     from chiverun.integrations.telemetry import Telemetry
     from chiverun.runtime.hedging import HedgedRequest
 
-# Headers of the callers' interface that backend servers do not get.
-_OWN_HEADERS = frozenset(
+# Headers from callers that are not forwarded to backend servers.
+_CALLER_HEADERS = frozenset(
     {
         "host",
         "content-length",
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Content:
-    """The part of a request that is sent on unchanged."""
+    """The part of a request that is forwarded unchanged."""
 
     method: str
     path: str
@@ -60,9 +60,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Attempt:
-    """How an attempt ended; `server` is None if none was chosen.
+    """The result of an attempt.
 
-    `hedge_server` is where a second attempt went meanwhile, if one was made.
+    `server` is None if no server was chosen. `hedge_server` is the server of
+    the hedged second attempt, if there was one.
     """
 
     end: ExchangeEnd
@@ -72,14 +73,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class HedgeLimits:
-    """What a request's other hops leave for a second attempt."""
+    """Attempts and retry budget left for a hedged second attempt."""
 
     attempts_left: int
     budget: "RetryBudget"
 
 
 class Executor:
-    """Admits and runs single attempts on this zone's servers."""
+    """Admits and runs single attempts on servers of this zone."""
 
     def __init__(
         self,
@@ -105,9 +106,9 @@
         may_wait: bool,
         hedge: HedgeLimits | None = None,
     ) -> Attempt:
-        """Run a request once; a refusal is an attempt that was not run.
+        """Run a request once, with a hedged second attempt if allowed.
 
-        With `hedge`, a second attempt on another server may follow.
+        A refusal by admission is returned as an attempt without a server.
         """
         try:
             with self._telemetry.span("admission", service=work.service):
@@ -120,34 +121,36 @@
             return Attempt(end=PeerRefused(code=exc.code))
         with self._telemetry.span("choice", server=grant.server.name):
             pass
-        plan = self._plan(work, hedge)
-        race = (
+        plan = self._hedge_plan(work, hedge)
+        hedged_request = (
             self._hedges.start(
                 lambda cancellation: self._send(grant, content, cancellation)
             )
             if plan is not None
             else None
         )
-        if race is None:
+        if hedged_request is None:
             end = self._send(grant, content, None)
             return Attempt(end=end, server=grant.server.name)
-        race.wait(plan.delay_s)
-        second = None
-        if not race.is_any_finished() and hedge.budget.withdraw():
-            second = self._hedge(race, grant, content, excluded)
-            if second is None:
+        hedged_request.wait(plan.delay_s)
+        hedge_server = None
+        if not hedged_request.is_any_finished() and hedge.budget.withdraw():
+            hedge_server = self._start_hedge(
+                hedged_request, grant, content, excluded
+            )
+            if hedge_server is None:
                 hedge.budget.refund()
         return Attempt(
-            end=race.result(),
+            end=hedged_request.result(),
             server=grant.server.name,
-            hedge_server=second,
+            hedge_server=hedge_server,
         )
 
     def expected_wait_s(self, work: "Work") -> float:
-        """Return how long a request would wait for a slot of this zone."""
+        """Return the expected wait for a slot of this zone."""
         return self._admission.expected_wait_s(work)
 
-    def _plan(
+    def _hedge_plan(
         self, work: "Work", hedge: HedgeLimits | None
     ) -> HedgePlan | None:
         if hedge is None:
@@ -159,21 +162,21 @@
             remaining_s=work.deadline - self._clock.monotonic(),
         )
 
-    def _hedge(
+    def _start_hedge(
         self,
-        race: "HedgedRequest",
+        hedged_request: "HedgedRequest",
         first: "Grant",
         content: Content,
         excluded: frozenset[ServerName],
     ) -> ServerName | None:
-        """Start a second attempt if a slot is free; never wait for one."""
+        """Start a second attempt if a slot is free, without waiting."""
         try:
             grant = self._admission.try_acquire(
                 first.work, excluded | {first.server.name}
             )
         except ChiverunError:
             return None
-        is_started = race.add(
+        is_started = hedged_request.add(
             lambda cancellation: self._send(grant, content, cancellation)
         )
         if not is_started:
@@ -190,14 +193,14 @@
         # The process may have been paused since the grant was made.
         if not self._admission.confirm(grant):
             self._admission.cancel(grant)
-            return NotSent(detail="grant no longer valid")
-        # What an unexpected error leaves behind may have been sent.
-        end: ExchangeEnd = Reset(detail="exchange failed")
+            return NotSent(detail="grant is no longer valid")
+        # After an unexpected error the request may have been sent.
+        end: ExchangeEnd = Reset(detail="exchange raised an unexpected error")
         try:
             with self._telemetry.span("attempt", server=grant.server.name):
                 end = self._backends.exchange(
                     grant.server.address,
-                    self._outgoing(grant, content, cancellation),
+                    self._make_backend_request(grant, content, cancellation),
                 )
         finally:
             self._release(grant, end, cancellation)
@@ -216,11 +219,12 @@
         self._admission.release(
             grant,
             end,
-            cancelled=cancellation.is_cancelled and _is_cut_off(end),
+            cancelled=cancellation.is_cancelled
+            and _may_result_from_cancellation(end),
             ended=cancellation.is_closed_by_server,
         )
 
-    def _outgoing(
+    def _make_backend_request(
         self,
         grant: "Grant",
         content: Content,
@@ -231,16 +235,18 @@
         headers["X-Request-Id"] = content.request_id
         headers["X-Deadline-Epoch-Ms"] = epoch_ms(self._clock, work.deadline)
         self._telemetry.inject(headers)
-        sent = outgoing(content, headers, work.deadline, work.request_class)
+        sent = make_backend_request(
+            content, headers, work.deadline, work.request_class
+        )
         return dataclasses.replace(sent, cancellation=cancellation)
 
 
-def _is_cut_off(end: ExchangeEnd) -> bool:
-    """Tell whether a cancellation explains this end."""
+def _may_result_from_cancellation(end: ExchangeEnd) -> bool:
+    """Return whether a cancellation can have caused this end."""
     return isinstance(end, NotSent | Reset | TimedOut | Incomplete)
 
 
-def outgoing(
+def make_backend_request(
     content: Content,
     headers: dict[str, str],
     deadline: float,
@@ -248,9 +254,9 @@
 ) -> OutgoingRequest:
     """Return the request to a backend server.
 
-    A kept connection may be closed by the server while a request is written
-    to it, and then nobody knows whether it ran; a request that cannot be
-    repeated goes over a fresh one.
+    A server may close a reused connection while a request is written to it,
+    which leaves the outcome unknown. A request that is not repeatable
+    therefore gets a new connection.
     """
     return OutgoingRequest(
         method=content.method,
@@ -265,24 +271,32 @@
 
 
 def backend_headers(headers: "Mapping[str, str]") -> dict[str, str]:
-    """Return the headers of a request that go on to a backend server."""
+    """Return the request headers that are forwarded to a backend server."""
     return {
         name: value
         for name, value in headers.items()
-        if name not in _OWN_HEADERS
+        if name not in _CALLER_HEADERS
         and name not in HOP_HEADERS
         and not name.startswith("x-chiverun-")
     }
 
 
 def epoch_ms(clock: "Clock", deadline: float) -> str:
-    """Return a monotonic deadline as milliseconds of the wall clock."""
+    """Convert a monotonic deadline to milliseconds since the epoch."""
     remaining_s = deadline - clock.monotonic()
     return str(int((clock.wall() + remaining_s) * 1000))
 
 
 def deadline_from_epoch(clock: "Clock", text: str) -> float:
-    """Return the monotonic deadline of a wall-clock one; raises ValueError."""
+    """Convert milliseconds since the epoch to a monotonic deadline.
+
+    Raises
+    ------
+    ValueError
+        The text is not a number of milliseconds.
+    """
     if not (text.isascii() and text.isdigit() and len(text) <= 15):
-        raise ValueError(f"deadline is {text!r}; valid: milliseconds")
+        raise ValueError(
+            f"deadline is {text!r}; valid: milliseconds since the epoch"
+        )
     return clock.monotonic() + int(text) / 1000.0 - clock.wall()
--- a/chiverun/runtime/forward.py
+++ b/chiverun/runtime/forward.py
@@ -1,7 +1,8 @@
-"""Requests of peers: admitted at once to this zone's servers, or refused.
+"""Handling of requests that other instances forward to this zone.
 
-A peer's request never waits for a slot here. It waits where it entered, so
-that threads of two instances cannot wait for each other.
+A forwarded request is admitted at once or refused. It queues only at the
+instance where it entered, so that threads of two instances cannot wait for
+each other.
 """
 
 import threading
@@ -42,7 +43,7 @@
 SOURCE_HEADER = "X-Chiverun-Source"
 # Region of the caller, which may differ from that of the entry instance.
 ORIGIN_HEADER = "X-Chiverun-Origin"
-_PREFIX = "/f/"
+_FORWARD_PREFIX = "/f/"
 
 
 class ForwardHandler:
@@ -70,19 +71,19 @@
         self._is_refusing = False
         self.in_flight = 0
 
-    def refuse_new(self) -> None:
-        """Refuse peers' requests from now on; they try other instances."""
+    def refuse_new_requests(self) -> None:
+        """Refuse further requests, which peers then send elsewhere."""
         self._is_refusing = True
 
     def handle(self, req: IncomingRequest) -> Response:
-        """Run a peer's request once."""
+        """Run a forwarded request once."""
         with self._lock:
             if self._is_refusing:
                 return error_response(
                     503,
                     Outcome.NOT_RUN,
                     ResultCode.LEAVING,
-                    "this instance is stopping; ask another",
+                    "this instance is stopping; retry at another instance",
                 )
             self.in_flight += 1
         try:
@@ -94,25 +95,26 @@
 
     def _handle(self, req: IncomingRequest) -> Response:
         try:
-            work = self._work(req)
+            work = self._parse_work(req)
         except (ChiverunError, ValueError) as exc:
             return error_response(
                 400, Outcome.NOT_RUN, ResultCode.REQUEST_MALFORMED, str(exc)
             )
         content = Content(
             method=req.method,
-            path=req.target.removeprefix(_PREFIX + work.service) or "/",
+            path=req.target.removeprefix(_FORWARD_PREFIX + work.service)
+            or "/",
             headers=req.headers,
             body=req.body,
             request_id=req.header("x-request-id"),
         )
         if work.source_region == self._region():
-            return reply_to_peer(self._run(work, content))
-        return pace_reply(
+            return make_peer_response(self._run(work, content))
+        return pace_response(
             self._links,
             self._clock,
             work,
-            lambda: reply_to_peer(self._run(work, content)),
+            lambda: make_peer_response(self._run(work, content)),
         )
 
     def _run(self, work: Work, content: Content) -> ExchangeEnd:
@@ -130,20 +132,24 @@
     def _region(self) -> RegionName:
         return self._plane.snapshot.state.of(Zone)[self._zone].region
 
-    def _work(self, req: IncomingRequest) -> Work:
+    def _parse_work(self, req: IncomingRequest) -> Work:
         state = self._plane.snapshot.state
         if self._zone not in state.of(Zone):
-            raise ValueError(f"zone {self._zone!r} is in no ticket")
-        name = ServiceName(req.path.removeprefix(_PREFIX).split("/", 1)[0])
+            raise ValueError(
+                f"zone {self._zone!r} is not declared by any ticket"
+            )
+        name = ServiceName(
+            req.path.removeprefix(_FORWARD_PREFIX).split("/", 1)[0]
+        )
         service = state.of(Service).get(name)
         if service is None:
-            raise ValueError(f"service {name!r} is unknown")
-        request_class = _class(service, req.header(CLASS_HEADER.lower()))
+            raise ValueError(f"service {name!r} is not declared by any ticket")
+        request_class = _find_class(service, req.header(CLASS_HEADER.lower()))
         deadline = deadline_from_epoch(
             self._clock, req.header("x-deadline-epoch-ms")
         )
-        # A claimed seat opens after the longest deadline of a class, so no
-        # clock difference may make a deadline longer than that.
+        # A claimed seat opens after the longest deadline of a class. Clock
+        # skew between instances must not make a deadline longer than that.
         latest = self._clock.monotonic() + request_class.deadline_ms / 1000.0
         return Work(
             service=name,
@@ -155,24 +161,26 @@
         )
 
 
-def _class(service: Service, name: str) -> RequestClass:
+def _find_class(service: Service, name: str) -> RequestClass:
     for request_class in service.classes:
         if request_class.name == name:
             return request_class
-    raise ValueError(f"class {name!r} of service {service.name} is unknown")
+    raise ValueError(
+        f"class {name!r} is not declared by service {service.name}"
+    )
 
 
-def pace_reply(
+def pace_response(
     links: "Links",
     clock: "Clock",
     work: Work,
     run: Callable[[], Response],
-    refusal: Outcome = Outcome.NOT_RUN,
+    refusal_outcome: Outcome = Outcome.NOT_RUN,
 ) -> Response:
-    """Run a request and delay its response to the rate of the link.
+    """Run a request and delay its response to match the rate of the link.
 
-    Response bytes are reserved before the request runs. A response that is
-    too late for its deadline is not sent over the link.
+    Capacity for the response is reserved before the request runs. A response
+    that would miss its deadline is not sent over the link.
     """
     target = work.source_region
     name = f"{work.service}/{work.request_class.name}"
@@ -185,30 +193,30 @@
     if reservation is None:
         return error_response(
             503,
-            refusal,
+            refusal_outcome,
             ResultCode.LINK_CAP,
-            f"link to {target} has no room",
+            f"link to {target} has no free capacity",
         )
     try:
-        reply = run()
+        response = run()
     except BaseException:
         links.cancel(reservation)
         raise
-    actual = message_bytes(reply.headers, reply.body)
-    if reply.status == 200:
+    actual = message_bytes(response.headers, response.body)
+    if response.status == 200:
         links.note_response(name, actual)
     if links.pace(reservation, actual, work.deadline):
-        return reply
+        return response
     return error_response(
         502,
         Outcome.UNKNOWN,
         ResultCode.BACKEND_TIMEOUT,
-        f"the response was too late for the link to {target}",
+        f"the link to {target} cannot carry the response before its deadline",
     )
 
 
-def reply_to_peer(end: ExchangeEnd) -> Response:
-    """Return the reply that tells a peer how an exchange ended."""
+def make_peer_response(end: ExchangeEnd) -> Response:
+    """Return the response that reports the end of an exchange to a peer."""
     classified = classify(end)
     if isinstance(end, Answered):
         return Response(
--- a/chiverun/runtime/gossip.py
+++ b/chiverun/runtime/gossip.py
@@ -1,4 +1,4 @@
-"""Adverts and gossip: what this instance tells and takes over."""
+"""Exchange of adverts and other gossip with peers."""
 
 from typing import TYPE_CHECKING
 
@@ -23,7 +23,7 @@
 
 
 def make_advert(ctx: "ControlContext") -> Advert:
-    """Make an advert of this instance as it is now."""
+    """Return an advert with the current state of this instance."""
     ctx.sequence += 1
     me = ctx.identity
     return Advert(
@@ -46,7 +46,7 @@
     )
 
 
-def _gossip(ctx: "ControlContext", about: InstanceId | None) -> Gossip:
+def _make_gossip(ctx: "ControlContext", about: InstanceId | None) -> Gossip:
     now = ctx.clock.monotonic()
     return Gossip(
         sender=make_advert(ctx),
@@ -65,30 +65,30 @@
     about: InstanceId | None,
     sequence: int | None = None,
 ) -> None:
-    """Send a ping; sequence 0 marks one that is not a probe."""
+    """Send a ping; with sequence 0, it is not a probe."""
     if sequence is None:
         sequence = ctx.members.sequence
-    ctx.send(address, Ping(sequence=sequence, gossip=_gossip(ctx, about)))
+    ctx.send(address, Ping(sequence=sequence, gossip=_make_gossip(ctx, about)))
 
 
-def ping_numbered(
+def send_numbered_ping(
     ctx: "ControlContext", address: Address, about: InstanceId | None
 ) -> None:
-    """Send a ping with a number of its own, outside of the probing."""
+    """Send a ping with a new sequence number, apart from the probes."""
     ctx.members.sequence += 1
     ping(ctx, address, about)
 
 
 def reply(ctx: "ControlContext", sender: Advert, sequence: int) -> None:
     """Acknowledge a ping."""
-    content = _gossip(ctx, sender.instance)
+    content = _make_gossip(ctx, sender.instance)
     ctx.send(sender.peer, Ack(sequence=sequence, gossip=content))
 
 
 def ping_zone(ctx: "ControlContext") -> None:
-    """Ping all live members of the zone."""
+    """Ping all live members of this zone."""
     for row in ctx.members.live_in_zone(ctx.identity.zone):
-        ping_numbered(ctx, row.peer, row.instance)
+        send_numbered_ping(ctx, row.peer, row.instance)
 
 
 def ping_remote(ctx: "ControlContext") -> None:
@@ -96,19 +96,19 @@
     for row in dissemination.contacts_by_zone(
         ctx.members, ctx.identity.zone, ctx.rng
     ):
-        ping_numbered(ctx, row.peer, None)
+        send_numbered_ping(ctx, row.peer, None)
 
 
 def merge(ctx: "ControlContext", content: Gossip) -> None:
-    """Take over what a ping or an acknowledgement carries."""
+    """Merge the gossip of a ping or an acknowledgement."""
     now = ctx.clock.monotonic()
     zone = ctx.identity.zone
     for advert in (content.sender, *content.adverts):
         if advert.instance != ctx.identity.instance:
             membership.merge_advert(ctx.members, advert, zone, now)
         elif advert.boot_id != ctx.identity.boot_id:
-            _outlive(ctx, advert)
-        _note_marks(ctx, advert)
+            _exceed_incarnation(ctx, advert)
+        _record_advertised_holders(ctx, advert)
     for update in content.updates:
         if update.instance == ctx.identity.instance:
             _refute(ctx, update.incarnation, update.state)
@@ -117,48 +117,50 @@
     dissemination.merge_drain_signs(ctx.drains, content.draining, now)
     _check_fork(ctx, content)
     ticketspread.pull_if_behind(ctx, content.sender.peer, content.number)
-    if content.sender.zone == zone and not has_same_marks(ctx, content):
-        send_marks(ctx, content.sender.peer, _all_marks(ctx))
+    if content.sender.zone == zone and not knows_same_holders(ctx, content):
+        send_holder_records(ctx, content.sender.peer, _all_holder_records(ctx))
 
 
-def has_same_marks(ctx: "ControlContext", content: Gossip) -> bool:
-    """Tell whether the sender knew the same holders of the zone's seats."""
+def knows_same_holders(ctx: "ControlContext", content: Gossip) -> bool:
+    """Return whether the sender knew the same holders of the zone's seats."""
     return content.holders_digest == seat_rules.holders_digest(ctx.seats)
 
 
-def _note_marks(ctx: "ControlContext", advert: Advert) -> None:
+def _record_advertised_holders(ctx: "ControlContext", advert: Advert) -> None:
     if advert.zone == ctx.identity.zone:
         for claim in advert.seats:
-            mark = SeatHolder(claim.epoch, advert.boot_id)
-            seat_rules.record_holder(ctx.seats, claim.seat, mark)
+            holder = SeatHolder(claim.epoch, advert.boot_id)
+            seat_rules.record_holder(ctx.seats, claim.seat, holder)
 
 
-def _all_marks(ctx: "ControlContext") -> tuple[SeatHolderRecord, ...]:
+def _all_holder_records(ctx: "ControlContext") -> tuple[SeatHolderRecord, ...]:
     return tuple(
-        SeatHolderRecord(seat=seat, epoch=mark.epoch, boot_id=mark.boot_id)
-        for seat, mark in ctx.seats.known_holders.items()
+        SeatHolderRecord(seat=seat, epoch=holder.epoch, boot_id=holder.boot_id)
+        for seat, holder in ctx.seats.known_holders.items()
     )
 
 
-def send_marks(
+def send_holder_records(
     ctx: "ControlContext",
     address: Address,
-    known_holders: tuple[SeatHolderRecord, ...],
+    records: tuple[SeatHolderRecord, ...],
 ) -> None:
-    """Tell an instance of the zone which holders are known."""
-    if known_holders:
+    """Send known seat holders to an instance of this zone."""
+    if records:
         ctx.send(
             address,
             SeatHolderRecords(
                 zone=ctx.identity.zone,
                 sender=ctx.identity.peer,
-                known_holders=known_holders,
+                known_holders=records,
             ),
         )
 
 
-def on_marks(ctx: "ControlContext", message: SeatHolderRecords) -> None:
-    """Take over later holders; answer with those the sender lacks."""
+def on_holder_records(
+    ctx: "ControlContext", message: SeatHolderRecords
+) -> None:
+    """Record later holders; reply with those the sender does not know."""
     if message.zone != ctx.identity.zone:
         return
     for m in message.known_holders:
@@ -166,11 +168,11 @@
             ctx.seats, m.seat, SeatHolder(m.epoch, m.boot_id)
         )
     later = seat_rules.newer_holders(ctx.seats, message.known_holders)
-    send_marks(ctx, message.sender, later)
+    send_holder_records(ctx, message.sender, later)
 
 
-def _outlive(ctx: "ControlContext", advert: Advert) -> None:
-    """Rise above the incarnation of an earlier process, if needed."""
+def _exceed_incarnation(ctx: "ControlContext", advert: Advert) -> None:
+    """Exceed the incarnation of an earlier process of this instance."""
     if advert.incarnation >= ctx.incarnation:
         ctx.incarnation = advert.incarnation + 1
 
@@ -184,8 +186,8 @@
 
 def _check_fork(ctx: "ControlContext", content: Gossip) -> None:
     if ctx.state.follows(content.number, content.digest) is False:
-        ticketspread.note_fork(
+        ticketspread.record_fork(
             ctx,
             f"instance {content.sender.instance} has another ticket "
-            f"{content.number}",
+            f"{content.number} than this instance",
         )
--- a/chiverun/runtime/instance.py
+++ b/chiverun/runtime/instance.py
@@ -1,4 +1,4 @@
-"""Assembles one instance and stops it gracefully."""
+"""Assembly and graceful shutdown of one instance."""
 
 import random
 import secrets
@@ -53,26 +53,29 @@
     from chiverun.core.ids import Address
     from chiverun.core.settings import Settings
 
-# Time for the news that an instance leaves to reach all look-up answers.
-LEAVE_SPREAD_S = 2.0
-LEAVE_TELL_PERIOD_S = 0.5
-HAND_OVER_LIMIT_S = 5.0
+# Time in which all look-up answers come to omit a leaving instance.
+STOP_SPREAD_S = 2.0
+STOP_ANNOUNCE_PERIOD_S = 0.5
+SEAT_TRANSFER_TIMEOUT_S = 5.0
 LOOKUP_READ_TIMEOUT_S = 1.0
-# Time to write responses after the longest deadline of any request.
-FINISH_MARGIN_S = 5.0
-_POLL_S = 0.05
-# Peers' messages are dropped while the control actor lags this far behind.
-_MAILBOX_MAX = 2000
+# Allows responses to be written after the longest request deadline.
+RESPONSE_MARGIN_S = 5.0
+_WAIT_POLL_S = 0.05
+# Messages from peers are dropped while the control actor's queue is longer.
+_CONTROL_QUEUE_MAX = 2000
 _BACKEND_CONNECTIONS = 16
 _LOG = logbook.Logger("instance")
 
 
 class _Tick:
-    """Asks the control actor to run the systems."""
+    """Message that triggers one run of the control plane's systems."""
 
 
 class ControlActor(pykka.ThreadingActor):
-    """Runs the control plane: the only thread that writes its tables."""
+    """Actor that runs the control plane.
+
+    Its thread is the only one that writes the control plane's tables.
+    """
 
     use_daemon_thread = True
 
@@ -85,8 +88,8 @@
         try:
             self._dispatch(message)
         except Exception:
-            # The actor must outlive a fault in the handling of one message.
-            _LOG.exception("control message failed")
+            # An exception here would end the actor.
+            _LOG.exception("cannot handle control message")
 
     def _dispatch(self, message: _Tick | Message | Event) -> None:
         match message:
@@ -156,21 +159,22 @@
         worker_store = HttpStore(address=store_address, timeout_s=timeout_s)
         watch_store = HttpStore(address=store_address, timeout_s=timeout_s)
         self._worker = StoreWorker.start(
-            SeatRecords(store=worker_store, zone=cfg.zone), self._tell
+            SeatRecords(store=worker_store, zone=cfg.zone),
+            self._send_to_control,
         )
         self._plane = ControlPlane(
             identity=self._identity,
             clock=self._clock,
             rng=self._rng,
             admission=self._admission,
-            send=self._send,
-            submit=self._submit,
+            send=self._send_to_peer,
+            submit=self._submit_store_job,
         )
         self._control = ControlActor.start(self._plane, self._links)
         self._watch = HeadWatch(
             log=TicketLog(store=watch_store),
             plane=self._plane,
-            report=self._tell,
+            report=self._send_to_control,
             rng=self._rng,
         )
 
@@ -224,7 +228,7 @@
             plane=self._plane,
             backends=self._backends,
             instances=self._instance_list(),
-            report=self._tell,
+            report=self._send_to_control,
         )
         self._servers = [
             WebServer(
@@ -260,16 +264,17 @@
         try:
             self._start()
             while not self._is_stop_requested:
-                time.sleep(_POLL_S)
-            self._leave()
+                time.sleep(_WAIT_POLL_S)
+            self._stop_gracefully()
         finally:
-            self._stop()
+            self._stop_components()
 
     def _on_signal(self, _number: int, _frame) -> None:
-        """Request a stop; repeated signals change nothing.
+        """Request a stop.
 
-        A handler runs inside whatever the main thread does, another handler
-        included, so it must not take a lock: an Event would deadlock.
+        A signal handler can interrupt any code of the main thread, including
+        another handler, so it must not acquire a lock. Setting a
+        `threading.Event` acquires one and can deadlock.
         """
         self._is_stop_requested = True
 
@@ -277,68 +282,78 @@
         self._peers.start(self._on_peer_message)
         for server in self._servers:
             server.start()
-        self._timer.subscribe(TICK_S, lambda: self._tell(_Tick()))
+        self._timer.subscribe(TICK_S, lambda: self._send_to_control(_Tick()))
         self._timer.start()
         self._watch.start()
         self._health.start()
         _LOG.info("started", extra={"life": self._identity.boot_id})
 
-    def _leave(self) -> None:
-        """Leave look-up answers, finish all requests, give seats away."""
+    def _stop_gracefully(self) -> None:
+        """Withdraw from look-ups, finish requests and hand over the seats."""
         _LOG.info("leaving")
         for server in self._servers:
             server.close_connections()
-        self._announce_leave(self._cfg.ttl_s + LEAVE_SPREAD_S)
-        self._forward.refuse_new()
-        if not self._wait(lambda: self._in_flight() == 0, self._finish_s()):
-            _LOG.warning("requests left", extra={"count": self._in_flight()})
-        self._tell(TransferSeats())
-        if not self._wait(
-            lambda: self._plane.has_handed_over, HAND_OVER_LIMIT_S
+        self._announce_stop(self._cfg.ttl_s + STOP_SPREAD_S)
+        self._forward.refuse_new_requests()
+        if not self._wait_until(
+            lambda: self._in_flight() == 0, self._longest_request_s()
+        ):
+            _LOG.warning(
+                "requests still in flight at shutdown",
+                extra={"count": self._in_flight()},
+            )
+        self._send_to_control(TransferSeats())
+        if not self._wait_until(
+            lambda: self._plane.has_transferred_seats, SEAT_TRANSFER_TIMEOUT_S
         ):
             seats = self._plane.seats
             _LOG.warning(
-                "seats left",
+                "seats not handed over before shutdown",
                 extra={
                     "in_use": sorted(seats.releasing),
                     "not_taken": sorted(seats.transfers),
                 },
             )
         try:
-            # Its queue holds the last change of the seats' record.
-            self._worker.stop(block=True, timeout=HAND_OVER_LIMIT_S)
+            # The worker's queue holds the last change to the seat record.
+            self._worker.stop(block=True, timeout=SEAT_TRANSFER_TIMEOUT_S)
         except pykka.Timeout:
-            _LOG.warning("seat record not written: no answer of the store")
+            _LOG.warning(
+                "cannot write seat record at shutdown: store timed out"
+            )
 
-    def _announce_leave(self, seconds: float) -> None:
-        """Tell peers repeatedly, since a message may be lost."""
-        until = self._clock.monotonic() + seconds
-        while self._clock.monotonic() < until:
-            self._tell(BeginStop())
-            time.sleep(LEAVE_TELL_PERIOD_S)
+    def _announce_stop(self, seconds: float) -> None:
+        """Announce the shutdown repeatedly, since messages may be lost."""
+        deadline = self._clock.monotonic() + seconds
+        while self._clock.monotonic() < deadline:
+            self._send_to_control(BeginStop())
+            time.sleep(STOP_ANNOUNCE_PERIOD_S)
 
-    def _finish_s(self) -> float:
-        """Return the time after which no request can be in flight."""
+    def _longest_request_s(self) -> float:
+        """Return the longest time for which requests stay in flight."""
         state = self._plane.snapshot.state
         longest_s = max(longest_deadline_s(state, kind) for kind in Length)
-        return longest_s + FINISH_MARGIN_S
+        return longest_s + RESPONSE_MARGIN_S
 
-    def _wait(self, condition: Callable[[], bool], limit_s: float) -> bool:
-        limit = self._clock.monotonic() + limit_s
+    def _wait_until(
+        self, condition: Callable[[], bool], limit_s: float
+    ) -> bool:
+        wait_deadline = self._clock.monotonic() + limit_s
         while not condition():
-            if self._clock.monotonic() >= limit:
+            if self._clock.monotonic() >= wait_deadline:
                 return False
-            time.sleep(_POLL_S)
+            time.sleep(_WAIT_POLL_S)
         return True
 
     def _in_flight(self) -> int:
         return self._entry.in_flight + self._forward.in_flight
 
-    def _stop(self) -> None:
-        # A signal while the interpreter ends must not change the exit code.
+    def _stop_components(self) -> None:
+        # A signal during interpreter shutdown must not change the exit code.
         signal.signal(signal.SIGTERM, signal.SIG_IGN)
         signal.signal(signal.SIGINT, signal.SIG_IGN)
-        # A part that was not started must not keep the others from ending.
+        # Stopping a component that has not been started may raise; the other
+        # components have to be stopped all the same.
         for stop in (
             *(server.stop for server in self._servers),
             self._timer.stop,
@@ -352,22 +367,22 @@
             try:
                 stop()
             except Exception:
-                _LOG.exception("a part did not stop")
+                _LOG.exception("cannot stop component")
         _LOG.info("stopped")
 
-    def _tell(self, message: _Tick | Message | Event) -> None:
+    def _send_to_control(self, message: _Tick | Message | Event) -> None:
         try:
             self._control.tell(message)
         except pykka.ActorDeadError:
             return
 
-    def _submit(self, job: StoreJob) -> None:
+    def _submit_store_job(self, job: StoreJob) -> None:
         try:
             self._worker.tell(job)
         except pykka.ActorDeadError:
             return
 
-    def _send(self, address: "Address", message: Message) -> None:
+    def _send_to_peer(self, address: "Address", message: Message) -> None:
         self._peers.send(address, encode_message(message))
 
     def _on_peer_message(self, data: bytes) -> None:
@@ -376,5 +391,5 @@
         except ChiverunError as exc:
             _LOG.warning("peer message dropped", extra={"e": str(exc)})
             return
-        if self._control.actor_inbox.qsize() < _MAILBOX_MAX:
-            self._tell(message)
+        if self._control.actor_inbox.qsize() < _CONTROL_QUEUE_MAX:
+            self._send_to_control(message)
--- a/chiverun/runtime/membersystem.py
+++ b/chiverun/runtime/membersystem.py
@@ -1,4 +1,4 @@
-"""Probes the members of the zone and pings other zones and seeds."""
+"""Failure detection in the zone, and pings to other zones and seeds."""
 
 from typing import TYPE_CHECKING
 
@@ -15,21 +15,21 @@
     from chiverun.runtime.context import ControlContext
 
 _SEED_PERIOD_S = 1.0
-# All instances ping the same few seeds.
-_SEED_KNOWN_PERIOD_S = 5.0
-_START_S = 10.0
+# Longer, since all instances ping the same few seeds.
+_SEED_JOINED_PERIOD_S = 5.0
+_STARTUP_S = 10.0
 WATCHERS_PER_ZONE = 2
 
 
 def run_members(ctx: "ControlContext", now: float) -> None:
-    """Judge the last probe and send the next pings."""
+    """Evaluate the last probe and send the next pings."""
     membership.expire(ctx.members, ctx.identity.zone, now)
     if membership.needs_indirect(ctx.members, now):
-        _ask_indirect(ctx)
+        _request_indirect_probes(ctx)
     for row in membership.members_to_check(
         ctx.members, ctx.identity.zone, now
     ):
-        gossip.ping_numbered(ctx, row.peer, row.instance)
+        gossip.send_numbered_ping(ctx, row.peer, row.instance)
     if now < ctx.members.next_probe_at:
         return
     ctx.members.next_probe_at = now + membership.PERIOD_S
@@ -47,10 +47,10 @@
 
 
 def _ping_seed(ctx: "ControlContext", now: float) -> None:
-    """Ping one seed a period, so that a lost zone is found again."""
+    """Ping one seed per period, so that partitioned zones rejoin."""
     known = {m.peer for m in ctx.members.rows.values() if m.is_live}
-    is_new = not known or now - ctx.started_at < _START_S
-    period_s = _SEED_PERIOD_S if is_new else _SEED_KNOWN_PERIOD_S
+    is_new = not known or now - ctx.started_at < _STARTUP_S
+    period_s = _SEED_PERIOD_S if is_new else _SEED_JOINED_PERIOD_S
     if now - ctx.seeds_pinged_at < period_s:
         return
     ctx.seeds_pinged_at = now
@@ -61,7 +61,7 @@
     gossip.ping(ctx, ctx.rng.choice(unknown or seeds), None, sequence=0)
 
 
-def _ask_indirect(ctx: "ControlContext") -> None:
+def _request_indirect_probes(ctx: "ControlContext") -> None:
     probe = ctx.members.probe
     row = ctx.members.rows.get(probe.target)
     if row is None:
@@ -80,7 +80,7 @@
 
 
 def on_ack(ctx: "ControlContext", sequence: int, content: Gossip) -> None:
-    """Note an acknowledgement, and pass it on if it was relayed."""
+    """Record an acknowledgement, and relay it if a peer asked for it."""
     now = ctx.clock.monotonic()
     if 0 < sequence <= ctx.members.sequence:
         membership.record_ack(ctx.members, content.sender, sequence, now)
@@ -88,7 +88,7 @@
     row = ctx.members.rows.get(content.sender.instance)
     if row is not None and row.boot_id == content.sender.boot_id:
         row.acked_at = now
-        if gossip.has_same_marks(ctx, content):
+        if gossip.knows_same_holders(ctx, content):
             row.synced_sequence = max(row.synced_sequence, sequence)
     relayed = ctx.members.relayed.pop(sequence, None)
     if relayed is not None:
@@ -101,21 +101,21 @@
 def relay_ping(
     ctx: "ControlContext", sequence: int, sender: Address, target: Address
 ) -> None:
-    """Ping a third instance for a peer."""
+    """Ping a third instance on behalf of a peer."""
     ctx.members.sequence += 1
-    own = ctx.members.sequence
+    relay_sequence = ctx.members.sequence
     relayed = ctx.members.relayed
     while len(relayed) >= membership.RELAYED_MAX:
         del relayed[next(iter(relayed))]
-    relayed[own] = (sender, sequence)
-    gossip.ping(ctx, target, None, sequence=own)
+    relayed[relay_sequence] = (sender, sequence)
+    gossip.ping(ctx, target, None, sequence=relay_sequence)
 
 
 def is_watcher(ctx: "ControlContext") -> bool:
-    """Tell whether this instance watches the store for its zone.
+    """Return whether this instance watches the store for its zone.
 
-    The instances with the lowest names do. Two watchers that disagree
-    on the members cost a few reads and nothing else.
+    The instances with the lowest names do. If instances disagree on the
+    members, extra watchers only cost a few reads of the store.
     """
     lower = [
         m
--- a/chiverun/runtime/seattransfer.py
+++ b/chiverun/runtime/seattransfer.py
@@ -1,4 +1,4 @@
-"""Hands seats to other instances and takes them over."""
+"""Transfers of seats between instances of a zone."""
 
 from typing import TYPE_CHECKING
 
@@ -26,25 +26,25 @@
 
     from chiverun.runtime.context import ControlContext
 
-# Each piece of news is sent this many times, since messages can be lost.
-_NEWS_SENDS = 4
+# Each gained seat is announced repeatedly, since messages can be lost.
+_ANNOUNCE_SENDS = 4
 _WRITE_RETRY_S = 0.5
-_WRITE_LIMIT_S = 30.0
+_WRITE_TIMEOUT_S = 30.0
 _LOG = logbook.Logger("control")
 
 
 def request_share(ctx: "ControlContext", zone: Zone, now: float) -> None:
-    """Ask one of the richer holders for a part of its seats."""
+    """Request seats from an instance that holds more than this one."""
     if now - ctx.seats.requested_at < seat_rules.REQUEST_PERIOD_S:
         return
-    rich = seat_rules.choose_holder(
+    larger_holder = seat_rules.choose_holder(
         ctx.members, zone.name, len(ctx.seats.held), ctx.rng
     )
-    if rich is None:
+    if larger_holder is None:
         return
     ctx.seats.requested_at = now
     ctx.send(
-        rich.peer,
+        larger_holder.peer,
         SeatRequest(
             instance=ctx.identity.instance,
             boot_id=ctx.identity.boot_id,
@@ -55,10 +55,10 @@
 
 
 def on_seat_request(ctx: "ControlContext", message: SeatRequest) -> None:
-    """Release seats to an instance with fewer.
+    """Release seats to an instance that holds fewer.
 
-    The request may be late or repeated: seats that the sender was seen to
-    hold, or that are on the way to it, count as well.
+    The request may be late or repeated, so seats that the sender advertises
+    or that are being transferred to it count as its own.
     """
     row = ctx.members.rows.get(message.instance)
     if row is None or not row.is_live or row.boot_id != message.boot_id:
@@ -66,12 +66,12 @@
     seats = ctx.seats
     if seats.releasing or seats.suspended_at is not None or ctx.is_leaving:
         return
-    known = len(row.advert.seats) if row.advert else 0
-    under_way = sum(
+    advertised = len(row.advert.seats) if row.advert else 0
+    in_transfer = sum(
         1 for t in seats.transfers.values() if t.boot_id == message.boot_id
     )
-    count = len(seats.held) - max(message.held, known) - under_way
-    # Every other seat: neighbouring seats share one server's slots.
+    count = len(seats.held) - max(message.held, advertised) - in_transfer
+    # Every second seat, since adjacent seats share the slots of one server.
     for seat in sorted(seats.held)[::2][: max(0, count // 2)]:
         _release(ctx, seat, message.instance)
 
@@ -89,7 +89,7 @@
 
 
 def release_all(ctx: "ControlContext") -> None:
-    """Release all seats to the other live instances, evenly."""
+    """Release all seats, evenly split among the other live instances."""
     receivers = _receivers(ctx)
     counts = {m.instance: len(m.advert.seats) for m in receivers}
     for seat in sorted(ctx.seats.held):
@@ -110,7 +110,7 @@
 
 
 def finish_releases(ctx: "ControlContext", now: float) -> None:
-    """Hand over released seats whose work has ended."""
+    """Transfer released seats on which no request is running."""
     released = {}
     owners = {}
     for seat, releasing in list(ctx.seats.releasing.items()):
@@ -119,9 +119,9 @@
         if ctx.admission.seat_in_use(seat):
             continue
         del ctx.seats.releasing[seat]
-        receiver = _receiver(ctx, releasing)
+        receiver = _choose_receiver(ctx, releasing)
         if receiver is not None:
-            owners[seat] = _hand_to(ctx, receiver, seat, releasing)
+            owners[seat] = _start_transfer(ctx, receiver, seat, releasing)
         elif ctx.is_leaving:
             released[seat] = releasing.epoch
         else:
@@ -133,7 +133,9 @@
     queue_write(ctx, owners, released)
 
 
-def _receiver(ctx: "ControlContext", releasing: Releasing) -> Member | None:
+def _choose_receiver(
+    ctx: "ControlContext", releasing: Releasing
+) -> Member | None:
     row = ctx.members.rows.get(releasing.receiver)
     if row is not None and row.is_live and row.advert is not None:
         return row
@@ -141,7 +143,7 @@
     return min(others, key=lambda m: len(m.advert.seats), default=None)
 
 
-def _hand_to(
+def _start_transfer(
     ctx: "ControlContext", row: Member, seat: SeatIndex, releasing: Releasing
 ) -> Owner:
     epoch = releasing.epoch + 1
@@ -157,7 +159,7 @@
 
 
 def resend_transfers(ctx: "ControlContext", now: float) -> None:
-    """Repeat transfers until the receiver holds them."""
+    """Resend transfers until their receivers hold the seats."""
     for seat, transfer in list(ctx.seats.transfers.items()):
         row = ctx.members.rows.get(transfer.receiver)
         if (
@@ -181,13 +183,13 @@
         instance=transfer.receiver,
         boot_id=transfer.boot_id,
         previous_holder=ctx.identity.peer,
-        short_ms=_left_ms(transfer.short_opens_at, now),
-        long_ms=_left_ms(transfer.long_opens_at, now),
+        short_ms=_remaining_ms(transfer.short_opens_at, now),
+        long_ms=_remaining_ms(transfer.long_opens_at, now),
         sent_epoch_ms=int(ctx.clock.wall() * 1000),
     )
 
 
-def _left_ms(opens_at: float, now: float) -> int:
+def _remaining_ms(opens_at: float, now: float) -> int:
     return max(0, int((opens_at - now) * 1000) + 1)
 
 
@@ -203,7 +205,7 @@
 
 
 def on_seat_transfer(ctx: "ControlContext", message: SeatTransfer) -> None:
-    """Take a seat over; a repeated or late message changes nothing."""
+    """Accept a transferred seat; ignore repeated and late messages."""
     zone = ctx.state.of(Zone).get(ctx.identity.zone)
     if message.boot_id != ctx.identity.boot_id or zone is None:
         return
@@ -212,15 +214,15 @@
     age_s = ctx.clock.wall() - message.sent_epoch_ms / 1000.0
     if abs(age_s) > seat_rules.TRANSFER_AGE_MAX_S:
         _LOG.warning(
-            "late seat transfer refused",
+            "rejected late seat transfer",
             extra={"seat": message.seat, "age_s": round(age_s, 3)},
         )
         return
-    taken = SeatTransferAck(
+    ack = SeatTransferAck(
         seat=message.seat, epoch=message.epoch, boot_id=message.boot_id
     )
     if message.epoch <= ctx.seats.taken.get(message.seat, 0):
-        ctx.send(message.previous_holder, taken)
+        ctx.send(message.previous_holder, ack)
         return
     known = ctx.seats.known_holders.get(message.seat)
     if known is not None and known > SeatHolder(
@@ -235,15 +237,15 @@
         now + message.short_ms / 1000.0,
         now + message.long_ms / 1000.0,
     )
-    gain(ctx, message.seat, message.epoch)
-    ctx.send(message.previous_holder, taken)
-    # The giver writes the record too, but may die before it can.
+    record_gained_seat(ctx, message.seat, message.epoch)
+    ctx.send(message.previous_holder, ack)
+    # The previous holder also writes the record, but may die before it does.
     owner = own_owner(ctx, message.epoch)
     queue_write(ctx, {message.seat: owner}, {})
 
 
-def on_seat_taken(ctx: "ControlContext", message: SeatTransferAck) -> None:
-    """End a transfer whose receiver has the seat."""
+def on_transfer_ack(ctx: "ControlContext", message: SeatTransferAck) -> None:
+    """End a transfer that its receiver has accepted."""
     transfer = ctx.seats.transfers.get(message.seat)
     if transfer is not None and (transfer.epoch, transfer.boot_id) == (
         message.epoch,
@@ -252,15 +254,17 @@
         del ctx.seats.transfers[message.seat]
 
 
-def gain(ctx: "ControlContext", seat: SeatIndex, epoch: int) -> None:
-    """Note a seat that this instance holds from now on."""
-    mark = SeatHolder(epoch, ctx.identity.boot_id)
-    seat_rules.record_holder(ctx.seats, seat, mark)
-    ctx.seats.gained_seats[seat] = _NEWS_SENDS
+def record_gained_seat(
+    ctx: "ControlContext", seat: SeatIndex, epoch: int
+) -> None:
+    """Record this instance as the holder of a seat and queue announcements."""
+    holder = SeatHolder(epoch, ctx.identity.boot_id)
+    seat_rules.record_holder(ctx.seats, seat, holder)
+    ctx.seats.gained_seats[seat] = _ANNOUNCE_SENDS
 
 
 def member_owner(row: Member, epoch: int) -> Owner:
-    """Return a member as the owner of a seat."""
+    """Return the seat record's entry for a member that owns a seat."""
     return Owner(
         instance=row.instance,
         boot_id=row.boot_id,
@@ -271,7 +275,7 @@
 
 
 def own_owner(ctx: "ControlContext", epoch: int) -> Owner:
-    """Return this instance as the owner of a seat."""
+    """Return the seat record's entry for a seat that this instance owns."""
     return Owner(
         instance=ctx.identity.instance,
         boot_id=ctx.identity.boot_id,
@@ -281,7 +285,7 @@
     )
 
 
-# Writes to the store's record.
+# Writes of the seat record.
 
 
 def queue_write(
@@ -289,16 +293,16 @@
     owners: "Mapping[SeatIndex, Owner]",
     released: "Mapping[SeatIndex, int]",
 ) -> None:
-    """Keep changes until they are written; later epochs replace earlier."""
+    """Queue changes to the record; a later epoch replaces an earlier one."""
     for seat, owner in owners.items():
-        kept = ctx.seats.unwritten.get(seat)
-        if kept is None or owner.epoch > kept.epoch:
+        queued = ctx.seats.unwritten.get(seat)
+        if queued is None or owner.epoch > queued.epoch:
             ctx.seats.unwritten[seat] = owner
     ctx.seats.unwritten_releases.update(released)
 
 
 def flush_writes(ctx: "ControlContext", now: float) -> None:
-    """Submit one job with all kept changes, unless one is under way."""
+    """Submit one job with all queued changes, unless one is pending."""
     seats = ctx.seats
     if (
         not (seats.unwritten or seats.unwritten_releases)
@@ -306,7 +310,7 @@
     ):
         return
     pending = seats.write_pending_since
-    if pending is not None and now - pending < _WRITE_LIMIT_S:
+    if pending is not None and now - pending < _WRITE_TIMEOUT_S:
         return
     seats.write_pending_since = now
     ctx.submit(
@@ -318,7 +322,7 @@
 
 
 def on_seats_written(ctx: "ControlContext", report: SeatsWritten) -> None:
-    """Forget what was written; the rest is written later."""
+    """Remove written changes from the queue."""
     seats = ctx.seats
     seats.write_pending_since = None
     if not report.is_done:
--- a/chiverun/runtime/storeworker.py
+++ b/chiverun/runtime/storeworker.py
@@ -1,4 +1,4 @@
-"""Blocking calls to the platform's store, off the control plane's thread."""
+"""Blocking calls to the platform's store, outside the control thread."""
 
 import random
 import threading
@@ -41,23 +41,24 @@
     from chiverun.integrations.interfaces import KeyValueStore
     from chiverun.runtime.control import ControlPlane
 
-WATCH_S = 10.0
-POLL_S = 5.0
-# An instance that hears its peers learns of tickets from them. At 4,656
-# daemons that do not watch, a poll every 5 s is 931 reads/s of the store.
-POLL_WITH_PEERS_S = 15.0
-_HEARD_S = 3.0
-_RECHECK_S = 1.0
-# 144 watchers of 72 zones read an empty store 144 times a second in all.
-_NO_HEAD_PAUSE_S = 1.0
-# Each check reads up to 70 keys: 34 reads a second from 144 watchers.
-MEND_PERIOD_S = 300.0
-_PAUSE_MIN_S = 0.2
-_PAUSE_MAX_S = 2.0
-_SWAP_ATTEMPTS = 4
+BLOCKING_READ_S = 10.0
+POLL_PERIOD_S = 5.0
+# Longer for instances that also get tickets from peers: a poll every 5 s by
+# 4,656 instances that do not watch would be 931 reads/s of the store.
+POLL_PERIOD_WITH_PEERS_S = 15.0
+_PEER_ACK_AGE_MAX_S = 3.0
+_RECHECK_PERIOD_S = 1.0
+# With this pause, 144 watchers of 72 zones read an empty store 144 times a
+# second in total.
+_EMPTY_STORE_DELAY_S = 1.0
+# Each check reads up to 70 keys; 144 watchers cause 34 reads/s in total.
+BASE_CHECK_PERIOD_S = 300.0
+_RETRY_DELAY_MIN_S = 0.2
+_RETRY_DELAY_MAX_S = 2.0
+_WRITE_ATTEMPTS = 4
 _LOG = logbook.Logger("store")
 
-Report = Callable[[StoreReport], None]
+ReportCallback = Callable[[StoreReport], None]
 
 
 class SeatRecords:
@@ -73,8 +74,8 @@
         Raises
         ------
         StoreUnavailable
-            The store did not answer, or the record is malformed; an empty
-            record in its place would free the seats of live holders.
+            The store did not respond, or the record is malformed. Treating
+            a malformed record as empty would free seats of live holders.
         """
         item = self._store.get(self._key)
         if item is None:
@@ -88,9 +89,9 @@
         return record, item.index
 
     def claim(self, job: ClaimSeats) -> tuple[list[Claim], SeatRecord]:
-        """Claim what the job's plan allows; return what took effect."""
+        """Claim seats by the job's plan; return the written claims."""
         record, index = self.read()
-        for _ in range(_SWAP_ATTEMPTS):
+        for _ in range(_WRITE_ATTEMPTS):
             claims = select_claims(record, job.plan, job.me)
             if not claims:
                 return [], record
@@ -98,33 +99,40 @@
                 c.seat: msgspec.structs.replace(job.me, epoch=c.epoch)
                 for c in claims
             }
-            wanted = with_owners(record, owners)
-            if self._swap(wanted, index):
-                return claims, wanted
+            new_record = with_owners(record, owners)
+            if self._write_if_unchanged(new_record, index):
+                return claims, new_record
             record, index = self.read()
-            if _owns(record, owners):
+            if _has_owners(record, owners):
                 return claims, record
         return [], record
 
     def write(self, job: WriteSeats) -> None:
-        """Write owners and give up seats; later epochs are kept.
+        """Write owners and releases of seats; later epochs are kept.
 
         Raises
         ------
         StoreUnavailable
             The record could not be changed.
         """
-        for _ in range(_SWAP_ATTEMPTS):
+        for _ in range(_WRITE_ATTEMPTS):
             record, index = self.read()
-            wanted = with_owners(record, job.owners)
+            new_record = with_owners(record, job.owners)
             for seat, epoch in job.released.items():
-                wanted = without_owner(wanted, seat, epoch)
-            if wanted == record or self._swap(wanted, index):
+                new_record = without_owner(new_record, seat, epoch)
+            if new_record == record or self._write_if_unchanged(
+                new_record, index
+            ):
                 return
-        raise StoreUnavailable(f"{self._key}: swapped by others")
+        raise StoreUnavailable(
+            f"cannot write {self._key}: too many concurrent writes"
+        )
+
+    def _write_if_unchanged(self, record: SeatRecord, index: int) -> bool:
+        """Write the record if its index is unchanged.
 
-    def _swap(self, record: SeatRecord, index: int) -> bool:
-        """Swap; a lost answer counts as False, and the caller re-reads."""
+        A lost response counts as False; the caller reads the record again.
+        """
         data = msgspec.msgpack.encode(record)
         try:
             return self._store.put(self._key, data, cas=index)
@@ -132,7 +140,7 @@
             return False
 
 
-def _owns(record: SeatRecord, owners: dict[int, Owner]) -> bool:
+def _has_owners(record: SeatRecord, owners: dict[int, Owner]) -> bool:
     return all(record.owners.get(s) == owner for s, owner in owners.items())
 
 
@@ -141,7 +149,7 @@
 
     use_daemon_thread = True
 
-    def __init__(self, records: SeatRecords, report: Report) -> None:
+    def __init__(self, records: SeatRecords, report: ReportCallback) -> None:
         super().__init__()
         self._records = records
         self._report = report
@@ -150,14 +158,14 @@
         try:
             report = run_job(self._records, message)
         except Exception:
-            # An exception would end the actor, and with it all claims.
-            _LOG.exception("store job failed")
+            # An exception here would end the actor, and no claim would run.
+            _LOG.exception("cannot run store job")
             report = failed_report(message)
         self._report(report)
 
 
 def run_job(records: SeatRecords, job: StoreJob) -> StoreReport:
-    """Run a job and return its report, also when the store is down."""
+    """Run a job and return its report, also if the store is unavailable."""
     try:
         match job:
             case ClaimSeats():
@@ -170,12 +178,12 @@
                 records.write(job)
                 return SeatsWritten(is_done=True, job=job)
     except StoreUnavailable as exc:
-        _LOG.warning("seat record", extra={"e": str(exc)})
+        _LOG.warning("cannot access seat record", extra={"e": str(exc)})
         return failed_report(job)
 
 
 def failed_report(job: StoreJob) -> StoreReport:
-    """Return the report of a job that the store did not take."""
+    """Return the report of a job that has failed."""
     match job:
         case ClaimSeats():
             return SeatsClaimed(claims=(), record=None)
@@ -188,8 +196,8 @@
 class HeadWatch:
     """Follows the head of the ticket log on a thread.
 
-    A watcher of its zone waits on the head; any other instance polls it
-    only as a fallback, since its peers tell it of new tickets.
+    A watcher of its zone uses blocking reads. Any other instance polls the
+    head only as a fallback, since peers announce new tickets to it.
     """
 
     def __init__(
@@ -197,7 +205,7 @@
         *,
         log: "TicketLog",
         plane: "ControlPlane",
-        report: Report,
+        report: ReportCallback,
         rng: random.Random,
     ) -> None:
         self._log = log
@@ -205,23 +213,23 @@
         self._report = report
         self._rng = rng
         self._stopping = threading.Event()
-        self._behind_since_number: int | None = None
-        self._mend_at = float("-inf")
-        self._pause_s = _PAUSE_MIN_S
+        self._behind_at_number: int | None = None
+        self._base_check_at = float("-inf")
+        self._retry_delay_s = _RETRY_DELAY_MIN_S
         self._read_at = float("-inf")
         self.is_reachable = False
-        # Why what the store holds cannot be used, for the status.
+        # Why the store's data cannot be used; shown in the status.
         self.fault: str | None = None
         self._thread = threading.Thread(
             target=self._run, daemon=True, name="head-watch"
         )
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End after the present call to the store."""
+        """Stop the thread after its current call to the store."""
         self._stopping.set()
 
     def _run(self) -> None:
@@ -236,77 +244,83 @@
         Returns
         -------
         tuple of int and float
-            The index to wait on next (0: read at once) and the pause before
-            it in seconds. No exception leaves this method: the thread must
-            outlive whatever the store holds.
+            The index to pass next (0 to read without blocking) and the pause
+            before that in seconds.
+
+        Notes
+        -----
+        No exception is raised, as malformed data in the store must not end
+        the thread.
         """
-        if self._may_rely_on_peers():
-            return 0, _RECHECK_S
+        if self._is_poll_deferred():
+            return 0, _RECHECK_PERIOD_S
         self._read_at = self._plane.clock.monotonic()
         try:
             index = self._follow(index)
         except (StoreUnavailable, StoreAnswerLost) as exc:
-            self._note_outage(exc)
-            self._pause_s = min(_PAUSE_MAX_S, self._pause_s * 2)
-            return 0, self._pause_s
+            self._record_outage(exc)
+            self._retry_delay_s = min(
+                _RETRY_DELAY_MAX_S, self._retry_delay_s * 2
+            )
+            return 0, self._retry_delay_s
         except Exception as exc:
-            self._note_fault(exc)
-            return 0, _PAUSE_MAX_S
+            self._record_fault(exc)
+            return 0, _RETRY_DELAY_MAX_S
         self.is_reachable = True
         self.fault = None
-        self._pause_s = _PAUSE_MIN_S
+        self._retry_delay_s = _RETRY_DELAY_MIN_S
         if not self._plane.is_watcher():
-            if self._may_rely_on_peers():
-                return 0, _RECHECK_S * self._rng.uniform(0.8, 1.2)
-            return index, POLL_S * self._rng.uniform(0.8, 1.2)
-        return index, 0.0 if index else _NO_HEAD_PAUSE_S
+            if self._is_poll_deferred():
+                return 0, _RECHECK_PERIOD_S * self._rng.uniform(0.8, 1.2)
+            return index, POLL_PERIOD_S * self._rng.uniform(0.8, 1.2)
+        return index, 0.0 if index else _EMPTY_STORE_DELAY_S
 
-    def _may_rely_on_peers(self) -> bool:
-        """Tell whether the next fallback poll is not due yet."""
+    def _is_poll_deferred(self) -> bool:
+        """Return whether the next fallback poll is not due yet."""
         now = self._plane.clock.monotonic()
         return (
-            now - self._read_at < POLL_WITH_PEERS_S
+            now - self._read_at < POLL_PERIOD_WITH_PEERS_S
             and not self._plane.is_watcher()
-            and self._plane.hears_peers(now, _HEARD_S)
+            and self._plane.has_recent_ack(now, _PEER_ACK_AGE_MAX_S)
         )
 
-    def _note_outage(self, exc: Exception) -> None:
+    def _record_outage(self, exc: Exception) -> None:
         if self.is_reachable:
             _LOG.warning("store unreachable", extra={"e": str(exc)})
         self.is_reachable = False
 
-    def _note_fault(self, exc: Exception) -> None:
+    def _record_fault(self, exc: Exception) -> None:
         reason = str(exc) or type(exc).__name__
         if self.fault == reason:
             return
         self.fault = reason
         if not isinstance(exc, ChiverunError):
-            _LOG.exception("following the head failed")
+            _LOG.exception("cannot follow the head of the ticket log")
             return
-        _LOG.error("ticket log", extra={"e": reason})
+        _LOG.error("cannot use ticket log in store", extra={"e": reason})
         if exc.code is ResultCode.TICKET_FORK:
             self._report(HeadForked(reason=reason))
 
     def _follow(self, index: int) -> int:
-        """Read or await the head once; return the index to wait on."""
-        wait_s = WATCH_S if index and self._plane.is_watcher() else 0.0
+        """Read the head once, or wait for a change; return its index."""
+        wait_s = BLOCKING_READ_S if index and self._plane.is_watcher() else 0.0
         head = self._log.head(index=index if wait_s else 0, wait_s=wait_s)
         state = self._plane.state
         entry = head.entry
         if entry is None:
             if state.number:
-                self._repair(0)
+                self._restore_head(0)
             return 0
         if state.follows(entry.number, entry.digest) is False:
             raise fork_error(entry, state)
         if entry.number < state.number:
-            self._repair(entry.number)
+            self._restore_head(entry.number)
             return 0
-        self._behind_since_number = None
+        self._behind_at_number = None
         if entry.number > state.number:
             self._read_missing(state.number, entry)
         else:
-            self._mend(state)
+            self._check_base(state)
         return head.index
 
     def _read_missing(self, number: int, head: "Entry") -> None:
@@ -316,11 +330,12 @@
         else:
             self._report(EntriesRead(entries=tuple(entries)))
 
-    def _repair(self, number: int) -> None:
-        """Bring a store with older data forward, if it stays behind."""
-        if self._behind_since_number != number:
-            # Of several instances that see it, the first one repairs it.
-            self._behind_since_number = number
+    def _restore_head(self, number: int) -> None:
+        """Write missing tickets to a store that stays behind."""
+        if self._behind_at_number != number:
+            # A random wait, so that one of several instances repairs the store
+            # first.
+            self._behind_at_number = number
             self._stopping.wait(self._rng.uniform(0.5, 1.5))
             return
         if not self._plane.is_watcher():
@@ -329,15 +344,17 @@
             self._plane.state, self._plane.recent.entries()
         ):
             _LOG.warning(
-                "store repaired",
+                "wrote missing tickets to store",
                 extra={"from": number, "to": self._plane.state.number},
             )
 
-    def _mend(self, state: "State") -> None:
-        """Check from time to time that the log behind the head loads."""
+    def _check_base(self, state: "State") -> None:
+        """Check periodically that the whole log can be loaded."""
         now = time.monotonic()
-        if now < self._mend_at or not self._plane.is_watcher():
+        if now < self._base_check_at or not self._plane.is_watcher():
             return
-        self._mend_at = now + MEND_PERIOD_S * self._rng.uniform(0.8, 1.2)
+        self._base_check_at = now + BASE_CHECK_PERIOD_S * self._rng.uniform(
+            0.8, 1.2
+        )
         if self._log.replace_unloadable_base(state):
-            _LOG.warning("base in the store replaced")
+            _LOG.warning("replaced unusable base state in store")
--- a/tests/runtime/test_entry.py
+++ b/tests/runtime/test_entry.py
@@ -1,4 +1,4 @@
-"""Tests of the request path for callers, with other parts replaced."""
+"""Tests of the request path for callers, with simulated components."""
 
 import contextlib
 import types
@@ -55,7 +55,7 @@
 
 
 class _Telemetry:
-    """Counts nothing."""
+    """Stand-in for telemetry that records nothing."""
 
     def __init__(self) -> None:
         meter = types.SimpleNamespace(
@@ -71,8 +71,8 @@
         return None
 
 
-class _Script:
-    """Ends each call as listed; the last one holds for all that follow."""
+class _Scripted:
+    """Stand-in that returns the given ends in order, then repeats the last."""
 
     def __init__(self, *ends) -> None:
         self.ends = list(ends)
@@ -111,7 +111,7 @@
 class EntryTest(unittest.TestCase):
     def setUp(self):
         self.clock = ManualClock()
-        self.peer_calls = _Script(_OK)
+        self.peer_calls = _Scripted(_OK)
 
     def _snapshot(self, *names, leaving=False):
         view = ZoneView(
@@ -152,7 +152,7 @@
         headers = {k.replace("_", "-"): v for k, v in headers.items()}
         if key:
             headers["idempotency-key"] = key
-        reply = entry.handle(
+        response = entry.handle(
             IncomingRequest(
                 method=method,
                 path="/s/desk/x",
@@ -162,7 +162,7 @@
                 remote="",
             )
         )
-        found = dict(reply.headers)
+        found = dict(response.headers)
         return found["X-Chiverun-Outcome"], int(found["X-Chiverun-Code"])
 
     @params(
@@ -176,8 +176,8 @@
         (_OK, "answered", 1),
     )
     def test_write_runs_at_most_once(self, end, outcome, calls):
-        """Guards against another attempt after one that may have run."""
-        script = _Script(end)
+        """Guards against a retry after an attempt that may have run."""
+        script = _Scripted(end)
         entry = self._entry(script)
         (key,) = self.keys.issue(1)
         self.assertEqual(outcome, self._send(entry, key=key)[0])
@@ -188,14 +188,14 @@
             self.assertEqual(calls, len(script.calls))
 
     def test_unknown_read_then_refused_is_unknown(self):
-        """Guards against "not run" by the last of several attempts."""
+        """Guards against "not run" if only the last attempt has not run."""
         refused = PeerRefused(code=ResultCode.NO_CAPACITY)
-        entry = self._entry(_Script(Reset(detail=""), refused))
+        entry = self._entry(_Scripted(Reset(detail=""), refused))
         self.assertEqual("unknown", self._send(entry, method="GET")[0])
 
     def test_error_while_running_uses_up_the_key(self):
         """Guards against a second run after an unexpected error."""
-        script = _Script(RuntimeError("fault"), _OK)
+        script = _Scripted(RuntimeError("fault"), _OK)
         entry = self._entry(script)
         (key,) = self.keys.issue(1)
         with self.assertRaises(RuntimeError):
@@ -204,8 +204,8 @@
         self.assertEqual(1, len(script.calls))
 
     def test_request_ids_differ(self):
-        """Guards against two requests that compare equal ids."""
-        script = _Script(_OK)
+        """Guards against responses matched to a wrong request."""
+        script = _Scripted(_OK)
         entry = self._entry(script)
         for _ in range(1000):
             self._send(entry, method="GET")
@@ -220,9 +220,12 @@
         (Mismatched(request_id="x"), "unknown"),
     )
     def test_key_of_another_instance(self, end, outcome):
-        """Guards against running or judging what only the issuer knows."""
-        self.peer_calls = _Script(end)
-        script = _Script(_OK)
+        """Guards against running a request whose key another instance issued.
+
+        Only the issuer knows whether it has run.
+        """
+        self.peer_calls = _Scripted(end)
+        script = _Scripted(_OK)
         entry = self._entry(script, peers=("a-2",))
         self.assertEqual(outcome, self._send(entry, key="a-2~life~1")[0])
         self.assertEqual([], script.calls)
@@ -239,8 +242,8 @@
         ("none", "not-run"),
     )
     def test_refusal_before_the_key_is_looked_up(self, case, outcome):
-        """Guards against "not run" for a repeat of what may have run."""
-        entry = self._entry(_Script(_OK), peers=("a-2",))
+        """Guards against "not run" for a key whose request may have run."""
+        entry = self._entry(_Scripted(_OK), peers=("a-2",))
         (key,) = self.keys.issue(1)
         match case:
             case "used":
@@ -253,17 +256,17 @@
         self.assertEqual(ResultCode.DEADLINE_INVALID, code)
         self.assertEqual(outcome, found)
 
-    def test_leaving_issuer_is_still_asked(self):
-        """Guards against an avoidable unknown outcome in a planned stop."""
-        entry = self._entry(_Script(_OK), peers=("a-2",))
+    def test_request_is_forwarded_to_a_leaving_issuer(self):
+        """Guards against unknown outcomes during a graceful stop."""
+        entry = self._entry(_Scripted(_OK), peers=("a-2",))
         self._send(entry, method="GET")
         self.plane.snapshot = self._snapshot()
         self.clock.advance(5)
         self.assertEqual("answered", self._send(entry, key="a-2~life~1")[0])
 
-    def test_moved_issuer_is_not_asked_in_a_circle(self):
-        """Guards against a loop of instances with old addresses."""
-        entry = self._entry(_Script(_OK), peers=("a-2",))
+    def test_request_is_forwarded_to_an_issuer_once(self):
+        """Guards against a forwarding loop by outdated addresses."""
+        entry = self._entry(_Scripted(_OK), peers=("a-2",))
         marked = {ISSUER_HEADER.lower().replace("-", "_"): "a-2"}
         outcome, _ = self._send(entry, key="a-2~life~1", **marked)
         self.assertEqual("unknown", outcome)
@@ -271,10 +274,10 @@
 
     @params(True, False)
     def test_issuer_without_seats_places_its_keys_elsewhere(self, leaving):
-        """Guards against refusing keys that no other instance may run."""
+        """Guards against a refusal of keys that only this instance may use."""
         refused = PeerRefused(code=ResultCode.NO_SEAT)
-        self.peer_calls = _Script(refused, refused, _OK)
-        entry = self._entry(_Script(refused))
+        self.peer_calls = _Scripted(refused, refused, _OK)
+        entry = self._entry(_Scripted(refused))
         self.plane.snapshot = self._snapshot("a-2", leaving=leaving)
         self.plane.snapshot.zones["a"].instances[0].free_slots.clear()
         (key,) = self.keys.issue(1)
@@ -282,20 +285,20 @@
         self.assertEqual(3, len(self.peer_calls.calls))
 
     def test_read_without_seats_is_placed_again(self):
-        """Guards against refusing reads right after a start.
+        """Guards against refused reads right after a start.
 
-        A caller that knows only this instance would be refused by each of
-        its tries within milliseconds.
+        A caller that knows only this instance would use up its retries
+        within milliseconds.
         """
         refused = PeerRefused(code=ResultCode.NO_SEAT)
-        script = _Script(refused, refused, _OK)
+        script = _Scripted(refused, refused, _OK)
         entry = self._entry(script)
         self.assertEqual("answered", self._send(entry, method="GET")[0])
 
     def test_read_without_seats_does_not_wait_for_its_deadline(self):
-        """Guards against holding a read that can run elsewhere."""
+        """Guards against delaying a read that can run elsewhere."""
 
-        class Refusing(_Script):
+        class Refusing(_Scripted):
             def run(script, *args, **kwargs):
                 self.clock.advance(0.1)
                 return super().run(*args, **kwargs)
@@ -307,8 +310,8 @@
 
     @params("0", "-1", "+1", "1.5", "", "9" * 5000)
     def test_bad_deadline_is_refused(self, text):
-        """Guards against an error where a refusal is due."""
-        script = _Script(_OK)
+        """Guards against an internal error for an invalid deadline."""
+        script = _Scripted(_OK)
         entry = self._entry(script)
         outcome, code = self._send(entry, method="GET", x_deadline_ms=text)
         self.assertEqual("not-run", outcome)
@@ -325,7 +328,7 @@
         ("9" * 400, None),
     )
     def test_deadline(self, text, deadline):
-        """Guards against work past the time at which its seat may move."""
+        """Guards against work that runs after its seat may have moved."""
         works = []
 
         class Runner:
@@ -344,7 +347,7 @@
             telemetry=_Telemetry(),
             threads=40,
         )
-        reply = forward.handle(
+        response = forward.handle(
             IncomingRequest(
                 method="GET",
                 path="/f/desk/x",
@@ -361,7 +364,7 @@
         self.assertEqual([] if deadline is None else [deadline], works)
         if deadline is None:
             self.assertEqual(
-                "not-run", msgspec.json.decode(reply.body)["outcome"]
+                "not-run", msgspec.json.decode(response.body)["outcome"]
             )
 
 
@@ -393,15 +396,15 @@
         )
 
     def test_error_in_an_exchange_leaves_its_slot_occupied(self):
-        """Guards against taking an unexpected error for "not sent"."""
-        run = self._executor(_Script(RuntimeError("fault")))
+        """Guards against treating an unexpected error as "not sent"."""
+        run = self._executor(_Scripted(RuntimeError("fault")))
         with self.assertRaises(RuntimeError):
             run()
         self.assertIsInstance(self.released[0], Reset)
 
     def test_grant_from_before_a_pause_is_not_used(self):
-        """Guards against old work after the process was stopped."""
-        script = _Script(_OK)
+        """Guards against outdated work after a pause of the process."""
+        script = _Scripted(_OK)
         attempt = self._executor(script, is_valid=False)()
         self.assertIs(Outcome.NOT_RUN, classify(attempt.end).outcome)
         self.assertEqual([], script.calls)
--- a/tests/runtime/test_public.py
+++ b/tests/runtime/test_public.py
@@ -1,4 +1,4 @@
-"""Tests of the issue of keys and of input errors at the look-up address."""
+"""Tests of issuing keys and of invalid input at the look-up address."""
 
 import types
 import unittest
@@ -26,7 +26,7 @@
         ("ready", "count=\u0663", 400, ResultCode.REQUEST_MALFORMED),
     )
     def test_issue(self, case, query, status, code):
-        """Guards against keys of an instance that cannot serve them."""
+        """Guards against keys issued by an instance that cannot serve them."""
         keys = KeyTable(instance="a-1", boot_id="l", clock=ManualClock())
         if case == "full":
             keys.issue(KEYS_MAX)
@@ -48,7 +48,7 @@
             telemetry=None,
             ttl_s=2.0,
         )
-        reply = public.handle(
+        response = public.handle(
             IncomingRequest(
                 method="POST",
                 path="/v1/keys",
@@ -58,8 +58,8 @@
                 remote="",
             )
         )
-        found = msgspec.json.decode(reply.body)
-        self.assertEqual(status, reply.status)
+        found = msgspec.json.decode(response.body)
+        self.assertEqual(status, response.status)
         if code is None:
             self.assertEqual(2, len(found["keys"]))
         else:
