--- a/chiverun/__main__.py
+++ b/chiverun/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line: ``python -m chiverun``."""
+"""Entry point of ``python -m chiverun``."""
 
 from chiverun.cli import main
 
--- a/chiverun/cli.py
+++ b/chiverun/cli.py
@@ -1,4 +1,4 @@
-"""The command line of operators and of instances."""
+"""Command line for operators and for running instances."""
 
 import contextlib
 import functools
@@ -47,14 +47,14 @@
     "ticket show, ticket log"
 )
 
-# Arguments are taken as text: fire would read 0007 or 1e5 as numbers.
+# Keeps arguments as text, since fire parses 0007 or 1e5 as numbers.
 _text_arguments = SetParseFn(str)
 
 
 class _Pending:
-    """The command that the command line names, run after it was parsed.
+    """Holds the parsed command until the whole command line is checked.
 
-    fire runs a command before it notices arguments that are left over.
+    fire runs a command before it detects surplus arguments.
     """
 
     def __init__(self) -> None:
@@ -62,7 +62,7 @@
 
 
 def _command(method: Callable[..., str | None]) -> Callable[..., None]:
-    """Make a method note its call instead of running it."""
+    """Make a method store its call for later instead of running it."""
 
     @functools.wraps(method)
     def note(self, *args, **kwargs) -> None:
@@ -98,7 +98,7 @@
         if ticket.number > 1 and not reports:
             raise ChiverunError(
                 ResultCode.NO_INSTANCE_REACHABLE,
-                "no instance tells which ticket is in force; asked: "
+                "no instance reports which ticket is in force; asked: "
                 f"{', '.join(cfg.instances)}",
             )
         entry = _log(settings).submit(
@@ -152,7 +152,7 @@
 
 
 class PlatformCommands:
-    """Run an edge instance on the users' platform, or check its settings."""
+    """Run an edge instance on the platform or check its settings."""
 
     def __init__(self, pending: _Pending) -> None:
         self._pending = pending
@@ -166,7 +166,7 @@
 
     @_command
     def check(self) -> str:
-        """Check the settings file that the environment names."""
+        """Check the settings file that CHIVERUN_CONFIG names."""
         from chiverun.platform.settings import read_platform_settings
 
         cfg = read_platform_settings()
@@ -185,7 +185,8 @@
     @_command
     def serve(self, settings: str) -> None:
         """Run one instance until SIGTERM."""
-        # Operators' commands start faster without the instance's libraries.
+        # Imported here because operators' commands start faster without the
+        # instance's libraries.
         from chiverun.integrations.logs import set_up_logs
         from chiverun.runtime.instance import Instance
 
@@ -205,7 +206,7 @@
         if not any(statuses.values()):
             raise ChiverunError(
                 ResultCode.NO_INSTANCE_REACHABLE,
-                f"no instance answers; asked: {', '.join(cfg.instances)}",
+                f"no instance responds; asked: {', '.join(cfg.instances)}",
             )
         if json == "True":
             return _json({a: s for a, s in statuses.items()})
@@ -289,7 +290,7 @@
 
 
 def _statuses(cfg: OperatorSettings) -> dict[str, Status | None]:
-    """Ask all instances at once: one that is cut off costs 2 s."""
+    """Query all instances at once, since an unreachable one takes 2 s."""
     with ThreadPoolExecutor(_STATUS_THREADS) as pool:
         return dict(
             zip(cfg.instances, pool.map(_status, cfg.instances), strict=True)
@@ -359,14 +360,14 @@
 
 
 def _parse() -> Callable[[], str | None]:
-    """Return the command that the command line names.
+    """Parse the command line and return the call to run.
 
     Raises
     ------
     ChiverunError
-        USAGE; fire's own messages take many lines.
+        USAGE, in place of fire's own messages of many lines.
     SystemExit
-        After help was shown.
+        After help has been shown.
     """
     pending = _Pending()
     shown = io.StringIO()
@@ -384,7 +385,7 @@
         raise ChiverunError(ResultCode.USAGE, reason) from exc
     if pending.call is None:
         raise ChiverunError(
-            ResultCode.USAGE, f"no command is named; valid: {_COMMANDS}"
+            ResultCode.USAGE, f"no command given; valid: {_COMMANDS}"
         )
     return pending.call
 
@@ -403,14 +404,17 @@
 
 
 def main() -> None:
-    """Run the command line; exits with the group of the result code."""
+    """Run the command line.
+
+    On an error, exit with its result code divided by 100.
+    """
     try:
         _run()
     except ChiverunError as exc:
         print(f"error: {' '.join(str(exc).split())}", file=sys.stderr)
         sys.exit(int(exc.code) // 100)
     except BrokenPipeError:
-        # The reader of the output has ended, such as `head`.
+        # The reader of the output, such as `head`, has exited.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
     except KeyboardInterrupt:
         sys.exit(130)
--- a/chiverun/integrations/asyncclient.py
+++ b/chiverun/integrations/asyncclient.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 client on an event loop: one exchange at a time a connection.
+"""Asynchronous HTTP/1.1 client, framed by h11.
 
-The framing is h11's. A wait for a response holds no thread, and cancelling
-it closes the connection at once.
+A connection carries one exchange at a time. Waiting for a response occupies
+no thread, and cancelling the wait closes the connection immediately.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 from chiverun.integrations.network import split_address
 from chiverun.integrations.sockets import watch_peer
 
-# A peer that acknowledges nothing for so long is taken as gone.
+# The connection fails if the peer acknowledges no data for this long.
 SILENCE_MS = 2000
 HEADER_BYTES_MAX = 64 * 1024
 
@@ -33,7 +33,7 @@
 class OutgoingRequest:
     """A request with its complete body.
 
-    `is_mine` tells from the headers of a response whether it belongs to
+    `is_mine` returns whether a response with the given headers belongs to
     this request.
     """
 
@@ -45,7 +45,10 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A kept connection; `reusable` tells whether it may be used again."""
+    """A persistent connection.
+
+    `reusable` is False once the connection must not carry another exchange.
+    """
 
     def __init__(self, *, body_bytes_max: int) -> None:
         self._body_bytes_max = body_bytes_max
@@ -69,7 +72,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self._waiter is None or self._waiter.done():
-            # Bytes that belong to no request.
+            # No request is pending, so the bytes belong to none.
             self.abort()
             return
         self._advance(data)
@@ -88,7 +91,7 @@
             self._finish(Reset(detail=f"connection lost: {exc}"))
 
     def abort(self) -> None:
-        """Close without waiting for anything."""
+        """Close at once, discarding buffered data."""
         self.reusable = False
         if self._transport is not None:
             self._transport.abort()
@@ -112,8 +115,8 @@
         self._waiter = asyncio.get_running_loop().create_future()
         try:
             self._transport.write(self._encode(request))
-            # Unlike wait_for, this does not lose a cancellation that comes
-            # together with the response.
+            # wait_for would lose a cancellation that coincides with the
+            # response.
             async with asyncio.timeout(timeout_s):
                 return await self._waiter
         except TimeoutError:
@@ -142,7 +145,7 @@
         return (head or b"") + body + end
 
     def _left_over(self) -> bool:
-        """Tell whether either side has bytes left of this exchange."""
+        """Return whether bytes of this exchange are unsent or unread."""
         unsent = self._transport and self._transport.get_write_buffer_size()
         states = (self._http.our_state, self._http.their_state)
         return bool(
@@ -200,7 +203,10 @@
         return False
 
     def _skip(self) -> bool:
-        """Read on behind a response that belongs to another request."""
+        """Discard a response to another request and parse the next one.
+
+        Return False if no further response can follow.
+        """
         self.reusable = False
         can_follow = self._http.their_state is h11.DONE
         rest, is_closed = self._http.trailing_data
@@ -231,7 +237,7 @@
     Raises
     ------
     OSError
-        It was refused or did not come about in time.
+        If the connection is refused or is not established in time.
     """
     host, port = split_address(address)
     loop = asyncio.get_running_loop()
--- a/chiverun/integrations/asyncserver.py
+++ b/chiverun/integrations/asyncserver.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 server on an event loop, framed by h11.
+"""Asynchronous HTTP/1.1 server, framed by h11.
 
-A request is read completely before it is handled, and one that waits for
-its response holds no thread. When the caller goes, its handler is cancelled.
+A request is read completely before it is handled and occupies no thread
+while it is handled. The handler is cancelled when the caller disconnects.
 """
 
 import asyncio
@@ -19,13 +19,13 @@
 
 _LOG = logbook.Logger("server")
 
-# A caller that takes none of its response for so long is given up.
+# The connection fails if the caller acknowledges no data for this long.
 SILENCE_MS = 10_000
 BACKLOG = 1024
-# Bytes of further requests that are read while one is handled.
+# Limit of pipelined bytes that are buffered while a request is handled.
 _AHEAD_BYTES_MAX = 64 * 1024
 
-# Statuses whose responses have no body and no length.
+# Statuses whose responses have neither a body nor a Content-Length.
 _BODILESS = (204, 304)
 
 Headers = list[tuple[str, str]]
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class IncomingRequest:
-    """A complete request; `target` is as the caller sent it."""
+    """A complete request; `target` is not decoded."""
 
     method: str
     target: str
@@ -42,7 +42,7 @@
     arrived_at: float
 
     def header(self, name: str) -> str | None:
-        """Return the first value of a header."""
+        """Return the first value of a header, None if it is missing."""
         lower = name.lower()
         return next((v for n, v in self.headers if n.lower() == lower), None)
 
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class ServerState:
-    """What all connections of a listener share."""
+    """State shared by all connections of a listener."""
 
     handler: Handler
     limits: ClientLimits = dataclasses.field(default_factory=ClientLimits)
@@ -72,12 +72,12 @@
     last_request_at: float = float("-inf")
 
     def active(self) -> int:
-        """Return the requests that are handled now."""
+        """Return the number of requests in progress."""
         return sum(conn.is_busy for conn in self.connections)
 
 
 class ServerConnection(asyncio.Protocol):
-    """One caller's connection."""
+    """A connection accepted from a caller."""
 
     def __init__(self, *, state: ServerState) -> None:
         self._state = state
@@ -96,7 +96,7 @@
 
     @property
     def is_busy(self) -> bool:
-        """Tell whether a request is read or handled."""
+        """Whether a request is being read or handled."""
         return self._task is not None or self._request is not None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -113,7 +113,7 @@
             self._task.cancel()
 
     def eof_received(self) -> bool:
-        # A caller that has closed its side is taken as gone.
+        # A half-closed connection counts as closed by the caller.
         return False
 
     def data_received(self, data: bytes) -> None:
@@ -123,14 +123,15 @@
                 self._transport.abort()
                 return
         if self._request is None and not self._in_head:
-            # Counts from the first byte: bytes that drip in win no time.
+            # The limit counts from the first byte, so that a slow sender
+            # cannot extend it.
             self._in_head = True
             self._set_timer(self._state.limits.header_timeout_s)
         self._http.receive_data(data)
         self._advance()
 
     def close_if_idle(self) -> None:
-        """Close unless a request is read or handled."""
+        """Close unless a request is being read or handled."""
         if not self.is_busy and self._transport is not None:
             self._transport.close()
 
@@ -157,7 +158,7 @@
                 self._arrived_at = self._loop.time()
                 self._body = bytearray()
                 if _head_bytes(event) > self._state.limits.header_bytes:
-                    # h11 bounds only a head that arrives in several pieces.
+                    # h11 limits only a head that arrives in several pieces.
                     self._refuse(431, "head over the limit")
                     return False
                 if _has_two_lengths(event):
@@ -200,7 +201,9 @@
             self._task = None
             raise
         except Exception:
-            _LOG.exception("handler failed", extra={"target": request.target})
+            _LOG.exception(
+                "request handler failed", extra={"target": request.target}
+            )
             response = OutgoingResponse(status=500, headers=[])
         self._task = None
         if self._transport.is_closing():
@@ -226,7 +229,7 @@
             self._write(h11.EndOfMessage())
         except h11.LocalProtocolError as exc:
             _LOG.error(
-                "response not sent",
+                "cannot send the response",
                 extra={"target": request.target, "reason": str(exc)},
             )
             self._transport.close()
@@ -246,7 +249,7 @@
         self._advance()
 
     def _refuse(self, status: int, reason: str) -> None:
-        """Answer a request that cannot be read, and close."""
+        """Respond to an invalid request and close the connection."""
         _LOG.warning(
             "request refused", extra={"status": status, "reason": reason}
         )
@@ -287,7 +290,7 @@
 
 
 def _head_bytes(request: h11.Request) -> int:
-    """Return the size of a head, without its line ends."""
+    """Return the size of a request head without its line ends."""
     rows = request.headers.raw_items()
     fields = sum(len(name) + len(value) + 2 for name, value in rows)
     return len(request.method) + len(request.target) + fields
@@ -304,7 +307,7 @@
     Raises
     ------
     OSError
-        The address cannot be bound.
+        If the address cannot be bound.
     """
     host, port = split_address(address)
     return await asyncio.get_running_loop().create_server(
--- a/chiverun/integrations/backend.py
+++ b/chiverun/integrations/backend.py
@@ -1,9 +1,9 @@
-"""HTTP exchanges with backend servers and peers, by urllib3 connections.
+"""HTTP exchanges with backend servers and peers over urllib3 connections.
 
-Nothing is retried or redirected here: whether a request may be sent again is
-decided by `runtime.entry` from the typed end of the exchange. Connections are
-kept here and not by urllib3's pool, which takes a connection back as soon as
-a body is read, before its length and request id have been compared.
+This module does not retry or follow redirects: `runtime.entry` decides from
+the typed end of the exchange whether to send a request again. It has its own
+connection pool because urllib3's pool reuses a connection as soon as a body
+has been read, before its length and request id are compared.
 """
 
 import dataclasses
@@ -61,8 +61,8 @@
 class Outgoing:
     """A request to send once; `deadline` is monotonic seconds.
 
-    A peer's statement of an outcome counts only when the request goes
-    `to_peer`; backend servers cannot make one.
+    A response's outcome header is only trusted if `to_peer` is set, since
+    backend servers do not set it.
     """
 
     method: str
@@ -78,7 +78,7 @@
 
 
 class _Reader(io.BufferedReader):
-    """Notes at its end whether bytes after the response had arrived."""
+    """Reader that records on close whether bytes followed the response."""
 
     excess = False
 
@@ -99,8 +99,8 @@
 class _Socket(socket.socket):
     """A socket whose operations share the deadline of one exchange.
 
-    A time-out for each operation alone lets a server that sends a byte at a
-    time hold a request without end.
+    With a time-out for each operation only, a server that sends one byte at
+    a time could block a request forever.
     """
 
     clock: Clock
@@ -114,7 +114,13 @@
         self.is_ended = False
 
     def limit(self) -> None:
-        """Set the time that is left; raises TimeoutError if none is."""
+        """Set the socket's time-out to the time left until the deadline.
+
+        Raises
+        ------
+        TimeoutError
+            If the deadline has passed.
+        """
         if self.is_ended:
             self.settimeout(0.0)
             return
@@ -132,13 +138,13 @@
         super().sendall(*args, **kwargs)
 
     def makefile(self, *_args, **_kwargs) -> _Reader:
-        """Return a reader of one response."""
+        """Return a reader for one response."""
         self._io_refs += 1
         self.reader = _Reader(self)
         return self.reader
 
     def end(self) -> bool:
-        """End an exchange; tell whether bytes followed its response."""
+        """End an exchange; return whether bytes followed its response."""
         self.reader.close()
         return self.reader.excess
 
@@ -168,7 +174,7 @@
     def send(self, data) -> None:
         if self.sock is None:
             if self.handed:
-                # A new connection would get the rest of a request.
+                # Reconnecting would send only the rest of the request.
                 raise OSError("connection closed while sending")
             self.connect()
         self.socket.limit()
@@ -211,8 +217,8 @@
             end = _send(conn, req) or _receive(conn, req)
             conn.exchanges += 1
         finally:
-            # Without an id the next response could not be told from a late
-            # one, so such a connection carries one exchange only.
+            # If responses have no request id, a late response could be
+            # taken for the next one. Such a connection is not reused.
             is_clean = conn.is_identified and isinstance(
                 end, Answered | Shed | PeerRefused | PeerUnknown
             )
@@ -239,7 +245,8 @@
                 conn = idle.pop() if idle else None
             if conn is None:
                 break
-            # Readable means closed by the server, or an unasked response.
+            # An idle connection that is readable has been closed by the
+            # server or holds an unsolicited response.
             if conn.is_connected:
                 return conn
             conn.close()
@@ -256,7 +263,7 @@
 
 
 def _send(conn: _Connection, req: Outgoing) -> ExchangeEnd | None:
-    """Send a request; return how the exchange ended if that failed."""
+    """Send a request; return the end of the exchange if sending failed."""
     headers = dict(req.headers)
     if req.to_peer:
         headers[EXCHANGE_HEADER] = req.request_id
@@ -275,7 +282,7 @@
 
 
 def _receive(conn: _Connection, req: Outgoing) -> ExchangeEnd:
-    """Read a response and check that it is whole and the request's own."""
+    """Read a response; check that it is complete and has the right id."""
     try:
         resp = conn.getresponse()
     except _FAILURES as exc:
@@ -298,7 +305,7 @@
         return Incomplete(detail="bytes after the response")
     name = EXCHANGE_HEADER if req.to_peer else "X-Request-Id"
     answered_id = resp.headers.get(name, "")
-    # The first response on a connection cannot be that of an earlier request.
+    # The first response on a connection cannot belong to an earlier request.
     is_only = not answered_id and conn.exchanges == 0
     conn.is_identified = bool(answered_id)
     if answered_id != req.request_id and not is_only:
@@ -307,7 +314,7 @@
 
 
 def _read_body(resp: urllib3.BaseHTTPResponse, most: int) -> bytes | None:
-    """Return the whole body, None if it is larger than `most` bytes."""
+    """Return the complete body, None if it exceeds `most` bytes."""
     chunks = []
     size = 0
     while chunk := resp.read(_CHUNK_BYTES):
@@ -319,9 +326,10 @@
 
 
 def _framing_fault(resp: urllib3.BaseHTTPResponse, method: str) -> str | None:
-    """Return why the end of a response cannot be told, None if it can.
+    """Return why a response's length is not reliable, None if it is.
 
-    A body that ends with the connection looks whole when it was cut.
+    A body that is delimited by the end of the connection is rejected,
+    because a truncated one looks complete.
     """
     if resp.status < 200:
         return f"status {resp.status} is not final"
@@ -357,7 +365,7 @@
         case Outcome.UNKNOWN.value if (
             _code(resp) is ResultCode.OK and resp.status >= 500
         ):
-            # A backend server's 5xx response, passed on by the peer.
+            # A backend server's 5xx response, forwarded by the peer.
             return _answered(resp, body)
         case _:
             return PeerUnknown(code=_code(resp))
@@ -387,7 +395,7 @@
 
 
 def _failed(exc: Exception, handed: bool) -> ExchangeEnd:
-    """Type a failure that came before the response's headers."""
+    """Classify a failure that occurred before the response's headers."""
     detail = f"{type(exc).__name__}: {exc}"
     if not handed:
         return NotSent(detail=detail)
--- a/chiverun/integrations/cancellation.py
+++ b/chiverun/integrations/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancellation of an exchange with a backend server from another thread."""
+"""Cancellation of an exchange with a backend server by another thread."""
 
 import socket
 import threading
@@ -7,8 +7,8 @@
 class Cancellation:
     """Cancels one exchange by closing the sending side of its connection.
 
-    The receiving side stays open, so that the server's own closing of the
-    connection is seen, which tells that the request has ended there.
+    The receiving side stays open. When the server then closes the
+    connection, the request has ended there.
     """
 
     def __init__(self) -> None:
@@ -18,20 +18,26 @@
         self.is_ended = False
 
     def attach(self, sock: socket.socket) -> None:
-        """Name the connection; raises OSError if cancelled already."""
+        """Set the connection to close on cancellation.
+
+        Raises
+        ------
+        OSError
+            If the exchange has been cancelled already.
+        """
         with self._lock:
             if self.is_fired:
                 raise OSError("cancelled before sending")
             self._sock = sock
 
     def detach(self) -> bool:
-        """Forget the connection; tell whether it was cancelled."""
+        """Remove the connection; return whether it was cancelled."""
         with self._lock:
             self._sock = None
             return self.is_fired
 
     def fire(self) -> None:
-        """Cancel the exchange, or keep it from being sent."""
+        """Cancel the exchange, or prevent it if it has not been sent."""
         with self._lock:
             self.is_fired = True
             if self._sock is None:
@@ -43,6 +49,6 @@
                 pass
 
     def note_closed_by_server(self) -> None:
-        """Note that the server closed the connection without a response."""
+        """Record that the server closed the connection without a response."""
         with self._lock:
             self.is_ended = self.is_fired
--- a/chiverun/integrations/catalogstore.py
+++ b/chiverun/integrations/catalogstore.py
@@ -1,4 +1,4 @@
-"""What the product needs of a store that holds its catalog."""
+"""Interface of the store that holds the catalog."""
 
 import dataclasses
 from typing import Protocol
@@ -11,11 +11,14 @@
 
 
 class CatalogUnavailable(Exception):
-    """The store did not answer, or refused; nothing is known."""
+    """Raised when the store does not respond or rejects a call.
+
+    Whether a write took effect is unknown.
+    """
 
 
 class HistoryGone(Exception):
-    """The store no longer has the changes since a revision."""
+    """Raised when the store has discarded the changes since a revision."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/chiverun/integrations/instances.py
+++ b/chiverun/integrations/instances.py
@@ -1,4 +1,4 @@
-"""Instance list client over the published Consul health HTTP interface."""
+"""Instance list client for Consul's HTTP health API."""
 
 import msgspec
 import urllib3
@@ -9,8 +9,8 @@
 from chiverun.integrations.interfaces import StoreUnavailable
 from chiverun.integrations.network import split_address
 
-# One call for all services: at 72 zones a call for each service and watcher
-# would use up the platform's reads with 30 services.
+# One call returns all services. With 72 zones and 30 services, a call for each
+# service and watcher would exhaust the platform's read limit.
 _PATH = "/v1/health/state/critical"
 
 
@@ -33,13 +33,17 @@
         Raises
         ------
         StoreUnavailable
-            The list could not be read.
+            If the list cannot be read.
         """
         try:
             resp = self._pool.urlopen("GET", _PATH, retries=False)
             checks = msgspec.json.decode(resp.data, type=list[_Check])
         except (HTTPError, msgspec.DecodeError) as exc:
-            raise StoreUnavailable(f"instance list: {exc}") from exc
+            raise StoreUnavailable(
+                f"cannot read the instance list: {exc}"
+            ) from exc
         if resp.status != 200:
-            raise StoreUnavailable(f"instance list: status {resp.status}")
+            raise StoreUnavailable(
+                f"instance list: status {resp.status}; expected 200"
+            )
         return frozenset(ServerName(c.service_id) for c in checks)
--- a/chiverun/integrations/interfaces.py
+++ b/chiverun/integrations/interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces to outside systems, which core and runtime depend on."""
+"""Interfaces to external systems that core and runtime depend on."""
 
 import dataclasses
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Item:
-    """A value of the key-value store with its modification index."""
+    """A key of the key-value store with its value and modify index."""
 
     key: str
     value: bytes
@@ -18,11 +18,14 @@
 
 
 class StoreUnavailable(Exception):
-    """The store did not take the call; nothing was written."""
+    """Raised when the store rejects a call; nothing has been written."""
 
 
 class StoreAnswerLost(Exception):
-    """A write was sent and its answer did not arrive; it may be in force."""
+    """Raised when the response to a write is lost.
+
+    The write may have taken effect.
+    """
 
 
 class KeyValueStore(Protocol):
@@ -35,11 +38,14 @@
     def get(
         self, key: str, *, index: int = 0, wait_s: float = 0.0
     ) -> Item | None:
-        """Read a key; with `index`, wait until its index is past it."""
+        """Read a key; if `index` is given, wait for a higher modify index."""
         ...
 
     def put(self, key: str, value: bytes, *, cas: int) -> bool:
-        """Write if the key's index is `cas`; 0 creates only."""
+        """Write if the key's modify index is `cas`, 0 if it does not exist.
+
+        Return whether it was written.
+        """
         ...
 
     def delete(self, key: str, *, cas: int) -> bool: ...
@@ -48,18 +54,21 @@
 
 
 class InstanceList(Protocol):
-    """The platform's lagging list of live and leaving instances."""
+    """The platform's list of live and leaving instances, which may lag."""
 
     def leaving(self) -> frozenset[ServerName]:
         """Return the listed instances that are leaving, in one call.
 
-        Raises `StoreUnavailable` when the list could not be read.
+        Raises
+        ------
+        StoreUnavailable
+            If the list cannot be read.
         """
         ...
 
 
 class PeerTransport(Protocol):
-    """Datagram-like messages between instances; loss is allowed."""
+    """Datagram-like messages between instances, which may be lost."""
 
     def start(self, receive: Callable[[bytes], None]) -> None: ...
 
--- a/chiverun/integrations/logs.py
+++ b/chiverun/integrations/logs.py
@@ -1,4 +1,4 @@
-"""JSON-lines logs by logbook."""
+"""Logs in JSON lines, written by logbook."""
 
 import collections
 import os
@@ -10,23 +10,23 @@
 
 from chiverun.core.ids import InstanceId
 
-# Lines that may wait for a slow reader of the output.
+# Further lines are dropped while this many wait for a slow reader.
 _WAITING_LINES_MAX = 4096
 _DESCRIPTOR = 1
 
 
 def set_up_logs(*, level: str, instance: InstanceId) -> None:
-    """Send log records as JSON lines to standard error."""
+    """Write log records as JSON lines to standard error."""
     handler = logbook.StreamHandler(sys.stderr, level=level, bubble=False)
     handler.formatter = _formatter(instance)
     handler.push_application()
 
 
 def set_up_stdout_logs(*, level: str, instance: InstanceId) -> None:
-    """Send log records as JSON lines to standard output, never blocking.
+    """Write log records as JSON lines to standard output without blocking.
 
-    A thread writes them. When its reader is too slow, lines are dropped and
-    counted in a later line.
+    A separate thread writes the lines. If the reader of the output is too
+    slow, lines are dropped and their number is logged later.
     """
     handler = _QueueHandler(level=level, bubble=False)
     handler.formatter = _formatter(instance)
@@ -51,7 +51,7 @@
 
 
 class _QueueHandler(logbook.Handler, logbook.StringFormatterHandlerMixin):
-    """Hands formatted lines to a thread that writes them."""
+    """Queues formatted lines for a thread that writes them."""
 
     def __init__(self, *, level: str, bubble: bool) -> None:
         logbook.Handler.__init__(self, level, bubble=bubble)
@@ -86,5 +86,5 @@
             try:
                 data = data[os.write(_DESCRIPTOR, data) :]
             except OSError:
-                # Nobody reads the output any more.
+                # The reader of the output has closed it.
                 return
--- a/chiverun/integrations/network.py
+++ b/chiverun/integrations/network.py
@@ -1,4 +1,4 @@
-"""Translation of addresses between networks."""
+"""Parsing of addresses and their translation between networks."""
 
 from collections.abc import Mapping
 
@@ -6,7 +6,7 @@
 
 
 class AddressMap:
-    """Maps addresses as announced to addresses as reachable from here."""
+    """Maps announced addresses to addresses reachable from this process."""
 
     def __init__(self, *, mapping: Mapping[Address, Address]) -> None:
         self._mapping = dict(mapping)
@@ -17,6 +17,6 @@
 
 
 def split_address(address: Address) -> tuple[str, int]:
-    """Split ``ip:port``."""
+    """Split ``ip:port`` into host and port."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
--- a/chiverun/integrations/peers.py
+++ b/chiverun/integrations/peers.py
@@ -1,4 +1,4 @@
-"""Messages between instances by pyzmq: one thread owns all sockets."""
+"""Messages between instances over pyzmq; one thread owns all sockets."""
 
 import collections
 import threading
@@ -15,12 +15,12 @@
 _MESSAGE_BYTES_MAX = 2 * 1024 * 1024
 _HIGH_WATER_MARK = 256
 _RECONNECT_MS_MAX = 500
-# A connection begun or used during a partition is given up after this time.
-# With zmq's defaults (30 s for a handshake) a zone that rejoined while the
-# store was down took 13 to 20 s to learn a ticket.
+# Limit for connects, handshakes and unacknowledged data. With zmq's defaults
+# (30 s for a handshake), a zone that rejoined after a partition while the
+# store was down received a ticket only after 13 to 20 s.
 _DEAD_LINK_MS = 1500
 _RECEIVE_HIGH_WATER_MARK = 512
-# Bounds what can wait to be sent; the oldest messages are dropped first.
+# Limit of the send queue; the oldest messages are dropped first.
 OUTBOX_BYTES_MAX = 32 * 1024 * 1024
 _OUTBOX_MESSAGES_MAX = 4096
 _CONNECTIONS_MAX = 256
@@ -29,10 +29,10 @@
 
 
 class ZmqPeers:
-    """Sends and receives datagram-like messages; loss is allowed.
+    """Sends and receives datagram-like messages, which may be lost.
 
-    A ROUTER socket receives; each destination has a DEALER socket, which
-    reconnects by itself and drops messages while it is not connected.
+    A ROUTER socket receives. Each destination has a DEALER socket, which
+    reconnects automatically and drops messages while it is not connected.
     """
 
     def __init__(self, *, bind: Address, addresses: AddressMap) -> None:
@@ -54,7 +54,7 @@
         self.messages_dropped = 0
 
     def start(self, receive: Callable[[bytes], None]) -> None:
-        """Bind and begin; `receive` is called on the transport's thread.
+        """Bind and start; `receive` is called on the transport's thread.
 
         Raises
         ------
@@ -83,7 +83,7 @@
         self._thread.start()
 
     def send(self, address: Address, payload: bytes) -> None:
-        """Queue a message; it is dropped if the peer is not connected."""
+        """Queue a message, which is dropped if the peer is not connected."""
         with self._wake_lock:
             self._outbox.append((address, payload))
             self._outbox_bytes += len(payload)
@@ -101,7 +101,7 @@
                     pass
 
     def stop(self) -> None:
-        """Send what is queued and close the sockets."""
+        """Send the queued messages and close the sockets."""
         with self._wake_lock:
             self._stopping.set()
             if self._thread is None:
--- a/chiverun/integrations/sockets.py
+++ b/chiverun/integrations/sockets.py
@@ -1,13 +1,13 @@
-"""Socket options that make a silent peer noticeable."""
+"""Socket options that detect unresponsive peers."""
 
 import socket
 
 
 def watch_peer(sock: socket.socket, *, silence_ms: int) -> None:
-    """Fail a connection whose peer is silent for `silence_ms`.
+    """Fail a connection if its peer is unresponsive for `silence_ms`.
 
-    Covers both unacknowledged data and idle waiting, which a partition or a
-    loss of power would otherwise leave open for minutes.
+    This covers both unacknowledged data and idle connections, which would
+    otherwise stay open for minutes after a partition or a power failure.
     """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, silence_ms)
--- a/chiverun/integrations/store.py
+++ b/chiverun/integrations/store.py
@@ -1,4 +1,4 @@
-"""Key-value store client over the published Consul KV HTTP interface."""
+"""Key-value store client for Consul's HTTP KV API."""
 
 import base64
 import urllib.parse
@@ -15,7 +15,7 @@
 from chiverun.integrations.interfaces import StoreUnavailable
 from chiverun.integrations.network import split_address
 
-# Added to the waiting time of a blocking read before it counts as lost.
+# Added to the waiting time of a blocking read for its time-out.
 _WAIT_MARGIN_S = 2.0
 
 
@@ -33,7 +33,7 @@
     address : Address
         ``ip:port`` of the store.
     timeout_s : float
-        Limit of a call without waiting, in seconds.
+        Time-out of non-blocking calls in seconds.
     """
 
     def __init__(self, *, address: Address, timeout_s: float) -> None:
@@ -57,7 +57,7 @@
             return None
         pairs = _decode(resp.data, list[_Pair])
         if not pairs:
-            raise StoreUnavailable("read returned no pair")
+            raise StoreUnavailable(f"read {key}: empty list of pairs")
         pair = pairs[0]
         try:
             value = base64.b64decode(pair.value or "", validate=True)
@@ -91,7 +91,9 @@
         except HTTPError as exc:
             raise StoreUnavailable(f"read {path}: {exc}") from exc
         if resp.status not in (200, 404):
-            raise StoreUnavailable(f"read {path}: status {resp.status}")
+            raise StoreUnavailable(
+                f"read {path}: status {resp.status}; expected 200 or 404"
+            )
         return resp
 
     def _write(self, method: str, path: str, body: bytes, cas: int) -> bool:
@@ -103,8 +105,10 @@
         except HTTPError as exc:
             raise StoreAnswerLost(f"{method} {path}: {exc}") from exc
         if resp.status != 200:
-            # An error after the write was passed on may follow its effect.
-            raise StoreAnswerLost(f"{method} {path}: status {resp.status}")
+            # The write may have taken effect before the error.
+            raise StoreAnswerLost(
+                f"{method} {path}: status {resp.status}; expected 200"
+            )
         return resp.data.strip() == b"true"
 
     def _request(
@@ -130,4 +134,4 @@
     try:
         return msgspec.json.decode(data, type=kind)
     except (msgspec.DecodeError, ValueError) as exc:
-        raise StoreUnavailable(f"read: malformed answer: {exc}") from exc
+        raise StoreUnavailable(f"read: malformed response: {exc}") from exc
--- a/chiverun/integrations/telemetry.py
+++ b/chiverun/integrations/telemetry.py
@@ -1,4 +1,4 @@
-"""Traces and metrics by OpenTelemetry, exported as JSON lines to the log."""
+"""OpenTelemetry traces and metrics, exported to the log."""
 
 import contextlib
 from collections.abc import Iterator
@@ -132,7 +132,10 @@
     def span(
         self, name: str, parent: Mapping[str, str] | None = None, **attributes
     ) -> Iterator[trace.Span]:
-        """Run a block within a span; `parent` holds request headers."""
+        """Run a block within a span.
+
+        `parent` are the request headers with the caller's trace context.
+        """
         context = _PROPAGATOR.extract(parent) if parent is not None else None
         with self._tracer.start_as_current_span(
             name, context=context, attributes=attributes
@@ -144,6 +147,6 @@
         _PROPAGATOR.inject(headers)
 
     def stop(self) -> None:
-        """Export what is left."""
+        """Export the remaining spans and metrics and stop."""
         self._traces.shutdown()
         self._metrics.shutdown()
--- a/chiverun/integrations/web.py
+++ b/chiverun/integrations/web.py
@@ -1,4 +1,4 @@
-"""Inbound HTTP by cheroot, with strict reading of headers and lengths."""
+"""HTTP server on cheroot with strict parsing of headers and lengths."""
 
 import contextlib
 import dataclasses
@@ -28,14 +28,14 @@
 BODY_BYTES_MAX = 1024 * 1024
 _HEADER_BYTES_MAX = 16 * 1024
 _IDLE_TIMEOUT_S = 30
-# The library's default of 10 makes most callers connect for each request.
+# With cheroot's default of 10, most callers must connect for each request.
 _KEPT_CONNECTIONS_MAX = 1024
 _SOCKET_KEY = "chiverun.socket"
 _HEADER_LINE = re.compile(
     rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+:[\t\x20-\x7e\x80-\xff]*\r\n"
 )
 _TARGET = re.compile(rb"/[\x21-\x7e]*")
-# More digits than a valid length has are refused before they are converted.
+# Rejects overlong numbers before they are converted.
 _LENGTH = re.compile(rb"[0-9]{1,18}")
 _SINGLE_HEADERS = frozenset(
     {
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Incoming:
-    """A request as received; path and query are still percent-encoded."""
+    """A received request; path and query are still percent-encoded."""
 
     method: str
     path: str
@@ -120,11 +120,11 @@
 
 
 class _HeaderReader(cheroot_server.HeaderReader):
-    """Refuses header lines that two readers may understand differently.
+    """Rejects ambiguous headers, which allow request smuggling.
 
-    Two parties that disagree on a body's length would take the rest of one
-    request for the start of another. Names with an underscore are dropped,
-    since WSGI cannot tell them from names with a hyphen.
+    If two HTTP implementations disagree on a body's length, one of them
+    parses the rest of a request as another request. Header names with an
+    underscore are dropped, since WSGI maps them to names with a hyphen.
     """
 
     def __call__(self, rfile, hdict=None):
@@ -144,7 +144,7 @@
 
 
 class _CheckedLines:
-    """Raises ValueError for a folded, malformed or repeated header line."""
+    """Reads header lines; rejects folded, malformed and repeated ones."""
 
     def __init__(self, rfile) -> None:
         self._rfile = rfile
@@ -176,16 +176,16 @@
             b"Transfer-Encoding" in self.inheaders
             and self.response_protocol != "HTTP/1.1"
         ):
-            # The body would be left on the connection unread.
+            # The body would stay unread on the connection.
             self.simple_response("400 Bad Request", "Transfer-Encoding.")
             return False
         return True
 
     def simple_response(self, status, msg="") -> None:
-        """Answer a request that the application does not answer.
+        """Send an error response in place of the application.
 
-        Until `ready` is set the request has not been handed on; after it,
-        nothing is known here.
+        Before `ready` is set, the request has not reached the application
+        and has not run. Afterwards, its outcome is unknown.
         """
         if self.sent_headers:
             return
@@ -214,8 +214,8 @@
             )
 
     def send_headers(self) -> None:
-        # What follows a request before its response was sent is a pipelined
-        # request or the rest of a body; neither is run.
+        # Bytes received before the response is sent are a pipelined request
+        # or the rest of a body. Neither is processed.
         if (
             getattr(self.server, "closes_connections", False)
             or (b"Connection", b"close") in self.outheaders
@@ -230,13 +230,13 @@
     RequestHandlerClass = _Request
 
     def communicate(self) -> bool:
-        # A caller that stops in the middle of a request holds a thread.
+        # A caller that stops in the middle of a request occupies a thread.
         self.socket.settimeout(self.server.read_timeout_s)
         return super().communicate()
 
 
 class _Gateway(wsgi.Gateway_10):
-    """Gives the caller's socket to the application."""
+    """Adds the caller's socket to the WSGI environment."""
 
     def get_environ(self) -> dict[str, Any]:
         env = super().get_environ()
@@ -278,7 +278,13 @@
         self._thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Bind and serve in a thread; raises PORT_IN_USE."""
+        """Bind and serve in a thread.
+
+        Raises
+        ------
+        ChiverunError
+            PORT_IN_USE.
+        """
         try:
             self._server.prepare()
         except OSError as exc:
@@ -305,7 +311,7 @@
         try:
             req = _incoming(environ)
         except ChiverunError as exc:
-            # The rest of the body may still come on this connection.
+            # The rest of the body may still arrive on this connection.
             reply = error_reply(400, Outcome.NOT_RUN, exc.code, exc.message)
             closing = (("Connection", "close"),)
         else:
@@ -323,11 +329,11 @@
         return [reply.body]
 
     def _handle(self, req: Incoming) -> Reply:
-        """Run the handler; an error that it lets out proves nothing."""
+        """Run the handler; after an exception, the outcome is unknown."""
         try:
             return self._handler(req)
         except Exception as exc:
-            _LOG.exception("request failed")
+            _LOG.exception("request handler failed")
             code = (
                 exc.code
                 if isinstance(exc, ChiverunError)
@@ -376,10 +382,10 @@
 
 
 def _is_abandoned(sock: socket.socket | None) -> bool:
-    """Tell whether the caller has closed its side.
+    """Return whether the caller has closed its side of the connection.
 
-    A request that waited here while this process was stopped gets a new
-    deadline when it is read, although its caller has given up.
+    The deadline of a request starts when it is read. A request that waited
+    while this process was stopped would run although its caller has left.
     """
     if sock is None:
         return False
--- a/chiverun/platform/dialect.py
+++ b/chiverun/platform/dialect.py
@@ -10,10 +10,10 @@
 
 _REQUEST_ID = "x-chiverun-request-id"
 _AFFINITY_KEY = "x-chiverun-affinity-key"
-# Milliseconds that the sender waits from when it sends, no point in time.
+# Remaining time in milliseconds when the request is sent, not a timestamp.
 _DEADLINE_MS = "x-chiverun-deadline-ms"
 _EXPECTED_SERVER = "x-chiverun-expect-instance"
-# Proves that an upstream made the response.
+# Only an upstream sets this header, so it proves the response's origin.
 _STAMP = "x-chiverun-response-stamp"
 _NOT_RUN = "x-chiverun-not-run"
 _LOAD = "x-chiverun-server-load"
@@ -23,10 +23,10 @@
 
 
 class PlatformDialect:
-    """Reads and writes the platform's own headers."""
+    """Parses and writes the platform's own headers."""
 
     def request_facts(self, request: IncomingRequest) -> RequestFacts:
-        """Return what a client's headers say."""
+        """Return the metadata in the headers of a client's request."""
         return RequestFacts(
             request_id=request.header(_REQUEST_ID) or "",
             affinity_key=request.header(_AFFINITY_KEY) or "",
@@ -36,7 +36,10 @@
     def request_headers(
         self, headers: Headers, server: Server, left_s: float
     ) -> Headers:
-        """Return a request's headers as the server shall get them."""
+        """Return the headers to forward to a server.
+
+        The client's deadline and expected server are replaced.
+        """
         kept = [
             (name, value)
             for name, value in headers
@@ -49,7 +52,7 @@
         ]
 
     def response_facts(self, status: int, headers: Headers) -> ResponseFacts:
-        """Return what a server's headers say."""
+        """Return the metadata in the headers of a server's response."""
         row = {name.lower(): value for name, value in headers}
         return ResponseFacts(
             request_id=row.get(_REQUEST_ID),
@@ -75,7 +78,7 @@
 
 
 def _load(text: str | None) -> ServerLoad | None:
-    """Read running, waiting, slots and the time of work in percent."""
+    """Parse ``running,waiting,slots[,slowdown in percent]``."""
     parts = (text or "").split(",")
     if len(parts) < 3 or not all(p.strip().isdigit() for p in parts[:4]):
         return None
--- a/chiverun/platform/ingress.py
+++ b/chiverun/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Calls by which clients and the platform find a machine."""
+"""HTTP handlers for address lookups and readiness checks."""
 
 import json
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class Ingress:
-    """Handlers of the directory's and the readiness address."""
+    """Handlers of the directory and readiness listeners."""
 
     def __init__(
         self, *, directory: Directory, is_ready: Callable[[], bool]
@@ -26,7 +26,7 @@
         self._is_ready = is_ready
 
     async def resolve(self, incoming: IncomingRequest) -> OutgoingResponse:
-        """Answer which machines a client should connect to."""
+        """Return the addresses that a client should connect to."""
         parts = urlsplit(incoming.target)
         if parts.path != _RESOLVE:
             return OutgoingResponse(status=404, headers=[])
@@ -43,7 +43,7 @@
         )
 
     async def readiness(self, incoming: IncomingRequest) -> OutgoingResponse:
-        """Answer whether this machine wants requests."""
+        """Return 200 if this machine accepts requests, 503 otherwise."""
         if incoming.target.partition("?")[0] != _READINESS:
             return OutgoingResponse(status=404, headers=[])
         status = 200 if self._is_ready() else 503
--- a/chiverun/platform/records.py
+++ b/chiverun/platform/records.py
@@ -1,4 +1,4 @@
-"""Items of the platform's store, decoded to the product's records."""
+"""Decoding of items of the platform's store to catalog records."""
 
 import json
 from typing import Any
@@ -28,12 +28,12 @@
 EVACUATION_PREFIX = "op/evacuate/"
 SERVER_PREFIX = "servers/"
 MACHINE_PREFIX = "chiverun/machines/"
-# Everything that the product follows lies under these.
+# Keys outside these prefixes are ignored.
 PREFIXES = ("op/", SERVER_PREFIX, MACHINE_PREFIX)
 
 
 def decode_record(key: str, data: bytes) -> Record | None:
-    """Decode an item; None for keys that the product does not follow."""
+    """Decode an item; return None for keys that are not used."""
     try:
         if key == STATE_KEY:
             return _state(json.loads(data))
@@ -56,7 +56,7 @@
 
 
 def encode_machine(machine: Machine) -> tuple[str, bytes]:
-    """Return the key and value under which a machine registers."""
+    """Return the key and value of a machine's registration."""
     return f"{MACHINE_PREFIX}{machine.name}", msgspec.json.encode(machine)
 
 
@@ -64,12 +64,14 @@
     state = values.field(body, "state", str)
     if state not in ("ready", "draining"):
         raise values.Malformed(
-            f"state: {state!r} is not valid; valid: ready, draining"
+            f"state: {state!r} is not valid; expected ready or draining"
         )
     address = values.field(body, "address", str)
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
-        raise values.Malformed(f"address: {address!r} is no ip:port")
+        raise values.Malformed(
+            f"address: {address!r} is not valid; expected ip:port"
+        )
     return Server(
         name=name,
         service=ServiceName(values.field(body, "service", str)),
@@ -77,9 +79,9 @@
         zone=ZoneName(values.field(body, "zone", str)),
         slots=values.whole(body, "slots", least=1),
         state=ServerState(state),
-        # How long the upstream stays cold, from when it wrote this.
+        # Remaining cold time when the upstream wrote the entry.
         cold_left_s=values.seconds(body, "coldLeft"),
-        # Start of the process; an id may be used again by a later one.
+        # Start time of the process; a later process may reuse the id.
         started_ms=values.whole(body, "born") if "born" in body else 0,
     )
 
@@ -105,7 +107,7 @@
     kind = values.field(rule, "kind", str)
     if kind not in ("safe", "unsafe"):
         raise values.Malformed(
-            f"kind: {kind!r} is not valid; valid: safe, unsafe"
+            f"kind: {kind!r} is not valid; expected safe or unsafe"
         )
     return Route(
         name=values.field(rule, "name", str),
--- a/chiverun/platform/serve.py
+++ b/chiverun/platform/serve.py
@@ -22,11 +22,11 @@
     Raises
     ------
     ChiverunError
-        The settings are not valid or an address is taken.
+        If the settings are not valid or an address is already in use.
     """
     cfg = read_platform_settings()
     set_up_stdout_logs(level="INFO", instance=cfg.name)
-    # Keeps the collector from walking the imported libraries again and again.
+    # Excludes the imported libraries from each garbage collection.
     gc.freeze()
     asyncio.run(_serve(cfg))
 
--- a/chiverun/platform/settings.py
+++ b/chiverun/platform/settings.py
@@ -1,4 +1,4 @@
-"""Settings file of the platform, decoded to the product's settings."""
+"""Decoding of the platform's settings file to `EdgeSettings`."""
 
 import dataclasses
 import json
@@ -18,7 +18,8 @@
 
 PATH_VARIABLE = "CHIVERUN_CONFIG"
 
-# Field of the bounds by the platform's name. Durations carry a unit.
+# Maps the platform's names of bounds to fields of `EdgeBounds`. The values of
+# durations have a unit.
 _BOUNDS = {
     "grace": "stop_grace_s",
     "retryBudgetRatio": "retry_ratio",
@@ -30,7 +31,7 @@
 
 
 def read_platform_settings() -> EdgeSettings:
-    """Read the file that the environment variable names.
+    """Read the settings file whose path is in `PATH_VARIABLE`.
 
     Raises
     ------
@@ -53,7 +54,7 @@
 
 
 def decode_settings(text: str) -> EdgeSettings:
-    """Decode the text of a settings file; unknown fields are ignored.
+    """Decode the text of a settings file, ignoring unknown fields.
 
     Raises
     ------
@@ -84,8 +85,8 @@
         entry=_address(listen, "front"),
         readiness=_address(listen, "ready"),
         directory=_address(listen, "directory"),
-        # Peers use the address that the platform calls control, since the
-        # settings name three of those to start from.
+        # Peers use the platform's control address, since the seeds in the
+        # settings are three control addresses.
         peer=_address(listen, "control"),
         metrics=Address(f"{ip}:{last_port}"),
         seeds=tuple(Address(str(seed)) for seed in seeds),
@@ -98,7 +99,9 @@
     text = values.field(body, name, str)
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit():
-        raise values.Malformed(f"{name}: {text!r} is no ip:port")
+        raise values.Malformed(
+            f"{name}: {text!r} is not valid; expected ip:port"
+        )
     return Address(text)
 
 
--- a/chiverun/platform/store.py
+++ b/chiverun/platform/store.py
@@ -25,16 +25,17 @@
 _LOG = logbook.Logger("store")
 
 CONNECT_TIMEOUT_S = 0.6
-# Beyond the time that a watch waits by itself.
+# For a watch, its waiting time is added.
 CALL_TIMEOUT_S = 1.2
-# A slow store is still read: a call may take this long once one timed out.
+# Each time-out raises the next call's limit up to this value, so that a slow
+# store can still be read.
 CALL_TIMEOUT_MAX_S = 6.0
 _BODY_BYTES_MAX = 64 * 1024 * 1024
 _PAGES_MAX = 200
 
 
 class PlatformStore:
-    """Calls the store on one kept connection, one call at a time."""
+    """Client with one persistent connection and one call at a time."""
 
     def __init__(self, *, address: Address) -> None:
         self._address = address
@@ -42,10 +43,11 @@
         self._timeout_s = CALL_TIMEOUT_S
 
     async def read_all(self) -> Changes:
-        """Return every record that the product follows.
+        """Return all records.
 
-        Pages are no snapshot: the revision of the first page is returned,
-        so that a watch repeats what changed while the rest was read.
+        The pages are not a consistent snapshot. The returned revision is
+        that of the first page, so that a watch from there also returns the
+        changes made while the other pages were read.
 
         Raises
         ------
@@ -64,12 +66,16 @@
                 return Changes(items=items, as_of=as_of)
             after = quote(rows[-1]["key"], safe="")
             path = f"/-/kv-range?prefix=&after={after}"
-        raise CatalogUnavailable(f"more than {_PAGES_MAX} pages")
+        raise CatalogUnavailable(
+            f"kv-range returned more than {_PAGES_MAX} pages"
+        )
 
     async def changes_since(
         self, revision: Revision, wait_s: float
     ) -> Changes:
-        """Return changes after a revision, waiting for the first.
+        """Return the changes after a revision.
+
+        Wait up to `wait_s` if there are none yet.
 
         Raises
         ------
@@ -90,12 +96,14 @@
     async def register(
         self, machine: Machine, known_revision: Revision
     ) -> bool:
-        """Write a machine's record if it is still at a revision.
+        """Write a machine's record if its revision is `known_revision`.
+
+        Return whether it was written.
 
         Raises
         ------
         CatalogUnavailable
-            Also if the write may have been executed; it is safe to repeat.
+            Also if the write may have been executed. Retrying is safe.
         """
         key, value = records.encode_machine(machine)
         row = {"key": key, "value": base64.b64encode(value).decode()}
@@ -106,7 +114,9 @@
         }
         answer = await self._call("POST", "/-/kv-txn", json.dumps(body))
         if answer.status not in (200, 412):
-            raise CatalogUnavailable(f"kv-txn: status {answer.status}")
+            raise CatalogUnavailable(
+                f"kv-txn: status {answer.status}; expected 200 or 412"
+            )
         return answer.status == 200
 
     def close(self) -> None:
@@ -119,7 +129,9 @@
         if answer.status == 410:
             raise HistoryGone
         if answer.status != 200:
-            raise CatalogUnavailable(f"{path}: status {answer.status}")
+            raise CatalogUnavailable(
+                f"{path}: status {answer.status}; expected 200"
+            )
         try:
             body = json.loads(answer.body)
             values.whole(body, "storeRevision")
@@ -148,7 +160,7 @@
             self._timeout_s + wait_s,
         )
         if not isinstance(end, Answered):
-            # The next call may take longer: the store may only be slow.
+            # The store may be slow, not down; allow the next call more time.
             self._timeout_s = min(CALL_TIMEOUT_MAX_S, self._timeout_s * 1.5)
             connection.abort()
             raise CatalogUnavailable(f"{path}: {end}")
@@ -164,29 +176,33 @@
                     body_bytes_max=_BODY_BYTES_MAX,
                 )
             except (OSError, TimeoutError) as exc:
-                raise CatalogUnavailable(f"connect: {exc!r}") from exc
+                raise CatalogUnavailable(
+                    f"cannot connect to {self._address}: {exc!r}"
+                ) from exc
         return self._connection
 
 
 def _rows(body: dict[str, Any], name: str) -> list[dict[str, Any]]:
-    """Return the readable rows of a response; others are logged."""
+    """Return the valid rows of a response; log and skip the others."""
     rows = body.get(name)
     if not isinstance(rows, list):
-        raise CatalogUnavailable(f"{name}: {rows!r} is no list")
+        raise CatalogUnavailable(f"{name}: {rows!r} is not a list")
     readable = []
     for row in rows:
         try:
             values.field(row, "key", str)
             values.whole(row, "revision")
         except values.Malformed as exc:
-            _LOG.warning("row unreadable", extra={"reason": str(exc)})
+            _LOG.warning(
+                "skipping malformed store row", extra={"reason": str(exc)}
+            )
         else:
             readable.append(row)
     return readable
 
 
 def _item(row: dict[str, Any]) -> Versioned | None:
-    """Decode an item or event; None for keys that are not followed."""
+    """Decode an item or event; return None for keys that are not used."""
     key = row["key"]
     if not key.startswith(records.PREFIXES):
         return None
@@ -201,7 +217,8 @@
         record = records.decode_record(key, data)
     if isinstance(record, Unreadable):
         _LOG.warning(
-            "record unreadable", extra={"key": key, "reason": record.reason}
+            "cannot decode store record",
+            extra={"key": key, "reason": record.reason},
         )
     if record is None:
         return None
--- a/chiverun/platform/values.py
+++ b/chiverun/platform/values.py
@@ -1,4 +1,4 @@
-"""Reading of single values of the platform's JSON bodies."""
+"""Validation of single fields of the platform's JSON bodies."""
 
 import re
 from typing import Any
@@ -8,11 +8,11 @@
 
 
 class Malformed(ValueError):
-    """A body lacks a field or has one of the wrong type."""
+    """Raised when a field is missing or has an invalid value."""
 
 
 def duration_s(value: Any) -> float:
-    """Return the seconds of a text such as ``1500ms`` or ``2.5s``.
+    """Parse a duration such as ``1500ms`` or ``2.5s`` to seconds.
 
     Raises
     ------
@@ -20,19 +20,22 @@
     """
     match = _DURATION.fullmatch(value) if isinstance(value, str) else None
     if match is None:
-        raise Malformed(f"{value!r} is no duration; valid: 1500ms, 2.5s")
+        raise Malformed(
+            f"{value!r} is not a duration; expected a value such as 1500ms "
+            "or 2.5s"
+        )
     return float(match[1]) * _SECONDS[match[2]]
 
 
 def field(body: Any, name: str, kind: type | tuple[type, ...]) -> Any:
-    """Return a field of an object, checked for its type.
+    """Return a field of an object after checking its type.
 
     Raises
     ------
     Malformed
     """
     if not isinstance(body, dict):
-        raise Malformed(f"{type(body).__name__} in place of an object")
+        raise Malformed(f"expected an object, got {type(body).__name__}")
     value = body.get(name)
     is_number = isinstance(value, bool) and kind is not bool
     if not isinstance(value, kind) or is_number:
@@ -41,7 +44,7 @@
 
 
 def number(body: Any, name: str, *, least: float = 0.0) -> float:
-    """Return a number field that is at least `least`.
+    """Return a finite number field that is at least `least`.
 
     Raises
     ------
@@ -54,7 +57,7 @@
 
 
 def whole(body: Any, name: str, *, least: int = 0) -> int:
-    """Return a whole-number field that is at least `least`.
+    """Return an integer field that is at least `least`.
 
     Raises
     ------
@@ -67,7 +70,7 @@
 
 
 def seconds(body: Any, name: str) -> float:
-    """Return a duration field in seconds.
+    """Return a duration field, converted to seconds.
 
     Raises
     ------
--- a/tests/adapter/__init__.py
+++ b/tests/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the adapter to the platform."""
+"""Tests of the platform adapter."""
--- a/tests/adapter/examples.py
+++ b/tests/adapter/examples.py
@@ -1,10 +1,10 @@
-"""Examples of the platform's bodies for tests."""
+"""Example bodies of the platform's store items and settings."""
 
 import json
 
 
 def server_entry(**changes) -> bytes:
-    """Return an entry of a server, with fields replaced."""
+    """Return a server's store entry with the given fields replaced."""
     body = {
         "service": "works",
         "address": "10.128.0.9:8080",
@@ -20,7 +20,7 @@
 
 
 def desired_state(version: int = 7, **action) -> dict:
-    """Return a desired state with one route of each kind."""
+    """Return a desired state with one unsafe and one safe route."""
     return {
         "version": version,
         "limits": {
@@ -84,7 +84,7 @@
 
 
 def settings_body(**changes) -> dict:
-    """Return a settings file's body, with fields replaced."""
+    """Return a settings file's body with the given fields replaced."""
     body = {
         "nodeName": "front-musanze-a-1",
         "role": "edge",
--- a/tests/adapter/test_edge.py
+++ b/tests/adapter/test_edge.py
@@ -1,4 +1,4 @@
-"""Tests of an edge instance as a process, against stand-ins."""
+"""Tests of an edge instance, run as a process with stand-ins."""
 
 import asyncio
 import collections
@@ -24,7 +24,7 @@
 
 
 class Reply:
-    """A response as a plain client reads it."""
+    """A raw response, split into status, head and body."""
 
     def __init__(self, raw: bytes) -> None:
         head, _, self.body = raw.partition(b"\r\n\r\n")
@@ -34,7 +34,7 @@
 
 
 async def call(address: str, raw: bytes, timeout_s: float = 8.0) -> Reply:
-    """Send bytes on a new connection and read to its end."""
+    """Send bytes on a new connection and read until it is closed."""
     host, port = address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -52,7 +52,7 @@
     body: bytes = b"",
     deadline_ms: int = 3000,
 ) -> bytes:
-    """Return a client's request that closes its connection."""
+    """Return a client's request with ``Connection: close``."""
     head = (
         f"{method} {path} HTTP/1.1\r\nHost: mill.example\r\n"
         f"X-Chiverun-Request-Id: {request_id}\r\n"
@@ -157,6 +157,7 @@
         return sum(up.runs[request_id] for up in self.upstreams)
 
     async def test_request_is_served_unchanged(self) -> None:
+        """Guards against a target or body that changes on the way."""
         await self._begin()
         path = "/read/a%2Fb/%7e?q=%20&x=;"
         reply = await call(self.listen["front"], get(path, "id-1"))
@@ -172,6 +173,7 @@
         self.assertEqual(posted.body, b"ran id-2 pay 7")
 
     async def test_no_desired_state_is_503_never_404(self) -> None:
+        """Guards against a 404 before the routes are known."""
         await self._start()
         await self._until(self._is_up, "listening")
         reply = await call(self.listen["front"], get("/nowhere/"))
@@ -179,6 +181,7 @@
         self.assertFalse(await self._is_ready())
 
     async def test_changed_state_and_drains_are_followed(self) -> None:
+        """Guards against sending requests to draining servers."""
         await self._begin()
         missing = await call(self.listen["front"], get("/nowhere/"))
         self.assertEqual(missing.status, 404)
@@ -192,6 +195,7 @@
         self.assertEqual(runs, [20, 0, 0])
 
     async def test_evacuated_zone_gets_nothing(self) -> None:
+        """Guards against sending requests to an evacuated zone."""
         await self._begin()
         await self.store.put("op/evacuate/musanze-a", b"{}")
         await asyncio.sleep(2.5)
@@ -200,6 +204,7 @@
         await self.store.remove("op/evacuate/musanze-a")
 
     async def test_store_trouble_leaves_service(self) -> None:
+        """Guards against failed requests while the store is unavailable."""
         await self._begin()
         for faults in (Faults(refuse_with=503), Faults(silent=True)):
             self.store.faults = faults
@@ -214,6 +219,7 @@
         self.assertEqual(reply.status, 200)
 
     async def test_unrepeatable_request_is_sent_once(self) -> None:
+        """Guards against retrying an unsafe request that may have run."""
         await self._begin()
         for upstream in self.upstreams:
             upstream.faults = UpstreamFaults(reset=True)
@@ -225,6 +231,7 @@
         self.assertEqual((read.status, self._runs("u2")), (502, 2))
 
     async def test_shed_request_is_truly_refused(self) -> None:
+        """Guards against a 503 for a request that has run."""
         await self._begin()
         for upstream in self.upstreams:
             upstream.faults = UpstreamFaults(shed=True)
@@ -237,13 +244,15 @@
     async def test_answers_of_others_and_broken_ones_are_not_passed_on(
         self,
     ) -> None:
+        """Guards against forwarding another's or a malformed response."""
         await self._begin()
         bad = [
             b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n"
             b"X-Chiverun-Request-Id: another\r\n\r\nother",
             b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort",
             b"\x00\x01 no answer at all\r\n\r\n",
-            # A success without its server's stamp, id or own encoding.
+            # Successful responses that lack the server's stamp or id, or
+            # have a Content-Encoding.
             b"HTTP/1.1 200 OK\r\n\r\n",
             b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n"
             b"X-Chiverun-Request-Id: ID\r\n\r\n",
@@ -264,6 +273,7 @@
             self.assertEqual((reply.status, self._runs(f"b{i}")), (502, 1))
 
     async def test_extra_answers_are_dropped(self) -> None:
+        """Guards against taking a surplus response for the next one."""
         await self._begin()
         for upstream in self.upstreams:
             upstream.faults = UpstreamFaults(extra=True)
@@ -272,6 +282,7 @@
             self.assertEqual(reply.body, f"ran x{i} ".encode())
 
     async def test_client_that_leaves_cancels_the_work(self) -> None:
+        """Guards against work for clients that have disconnected."""
         await self._begin()
         for upstream in self.upstreams:
             upstream.faults = UpstreamFaults(delay_s=5.0)
@@ -287,6 +298,7 @@
         await self._until(is_cancelled, "work cancelled")
 
     async def test_route_timeout_is_kept(self) -> None:
+        """Guards against waiting longer than the route's timeout."""
         await self._begin()
         for upstream in self.upstreams:
             upstream.faults = UpstreamFaults(delay_s=9.0)
@@ -300,7 +312,7 @@
         self.assertLess(loop.time() - began, 1.5 + 0.5)
 
     async def test_overload_is_refused_and_did_not_run(self) -> None:
-        """Guards against queues in which every answer is late."""
+        """Guards against queues that delay every response too long."""
         await self._begin()
         for upstream in self.upstreams:
             upstream.faults = UpstreamFaults(delay_s=1.0)
@@ -311,8 +323,8 @@
 
         done = await asyncio.gather(*(post(f"o{i}") for i in range(60)))
         refused = [row for row in done if row[1].status == 503]
-        # 3 servers take 4 requests each and as many again that wait; on a
-        # busy machine the clients may need long enough for two rounds.
+        # 3 servers run 4 requests each and queue as many. On a busy machine,
+        # the clients may be slow enough for two such rounds.
         statuses = collections.Counter(reply.status for _, reply in done)
         self.assertGreaterEqual(len(refused), 60 - 2 * 24, statuses)
         for request_id, reply in refused:
@@ -325,6 +337,7 @@
         self.assertIn(b"chiverun_requests_overload_refused", metrics.body)
 
     async def test_stop_serves_what_runs_and_ends_cleanly(self) -> None:
+        """Guards against requests that are lost when the process stops."""
         await self._begin()
         for upstream in self.upstreams:
             upstream.faults = UpstreamFaults(delay_s=1.0)
@@ -344,9 +357,9 @@
     async def test_stop_closes_idle_connections_while_requests_come(
         self,
     ) -> None:
-        """Guards against a request that arrives while the process ends.
+        """Guards against a request that arrives while the process exits.
 
-        Found by a hunt: inzira-race, hunt-ba7a-39.
+        The fault occurred in hunt inzira-race, hunt-ba7a-39.
         """
         await self._begin()
         host, port = self.listen["front"].split(":")
@@ -367,11 +380,13 @@
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 await call(self.listen["front"], get("/read/1", "k"))
             await asyncio.sleep(0.1)
-        # 0.2 s before the process ends, 0.9 s before the grace period does.
+        # The process exits 0.9 s before the end of the grace period and closes
+        # idle connections 0.2 s before it exits.
         self.assertLess(await closing - asked_at, 6.0 - 0.9 - 0.2)
         writer.close()
 
     async def test_reload_with_bad_settings_keeps_serving(self) -> None:
+        """Guards against an invalid settings file that stops the process."""
         await self._begin()
         for text in ("{", json.dumps(self.settings)):
             self.path.write_text(text)
@@ -381,6 +396,7 @@
             self.assertEqual(reply.status, 200)
 
     async def test_garbage_on_each_port_harms_nothing(self) -> None:
+        """Guards against malformed requests that are run or cause a 500."""
         await self._begin()
         garbage = [
             b"\x00" * 300 + b"\r\n\r\n",
@@ -401,6 +417,7 @@
         self.assertEqual(reply.status, 200)
 
     async def test_directory_and_metrics(self) -> None:
+        """Guards against wrong addresses and missing metrics."""
         await self._begin()
         reply = await call(
             self.listen["directory"],
@@ -419,6 +436,7 @@
         self.assertIn(b"chiverun_request_duration", metrics.body)
 
     async def test_bad_settings_end_with_a_coded_line(self) -> None:
+        """Guards against a traceback for invalid settings."""
         for text in ("", "{", "[]", '{"zone": 7}'):
             self.path.write_text(text)
             await self._start()
--- a/tests/adapter/test_metastore.py
+++ b/tests/adapter/test_metastore.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in of the platform's store."""
+"""Tests of the stand-in for the platform's store."""
 
 import asyncio
 import unittest
@@ -19,9 +19,9 @@
 
 class WatchTest(unittest.IsolatedAsyncioTestCase):
     async def test_store_goes_on_after_a_watch_is_left(self) -> None:
-        """Guards against a lock that a watch keeps when its caller leaves.
+        """Guards against a lock that a cancelled watch does not release.
 
-        In soak seed 124 each write and watch waited for that lock.
+        In soak seed 124, all later writes and watches waited for that lock.
         """
         for steps in range(12):
             store = MetaStore()
--- a/tests/adapter/test_records.py
+++ b/tests/adapter/test_records.py
@@ -1,4 +1,4 @@
-"""Tests of the decoding of the platform's items and settings."""
+"""Tests of decoding the platform's store items and settings."""
 
 import json
 import unittest
@@ -20,6 +20,7 @@
 
 class ServerEntryTest(unittest.TestCase):
     def test_entry(self) -> None:
+        """Guards against wrong units and states in a decoded server."""
         record = decode_record("servers/i-1", server_entry(coldLeft="1500ms"))
         self.assertIsInstance(record, Server)
         self.assertEqual(record.cold_left_s, 1.5)
@@ -43,21 +44,24 @@
         server_entry(service=None),
     )
     def test_bad_entry_names_no_server(self, data) -> None:
-        # Entries may come from another writer; the others must hold.
+        """Guards against one invalid entry that affects the valid ones."""
         self.assertIsInstance(decode_record("servers/i-1", data), Unreadable)
 
     @params("op/evacuate/z1", "op/evacuate/musanze-a")
     def test_evacuation(self, key) -> None:
+        """Guards against an evacuation that is lost for its value."""
         record = decode_record(key, b"not read")
         self.assertEqual(record, Evacuation(zone=key.rpartition("/")[2]))
 
     @params("op/other", "topics/x", "chiverunx")
     def test_other_keys_are_not_followed(self, key) -> None:
+        """Guards against decoding keys of other writers."""
         self.assertIsNone(decode_record(key, b"{}"))
 
 
 class DesiredStateTest(unittest.TestCase):
     def test_state(self) -> None:
+        """Guards against wrong routes and services in a desired state."""
         state = decode_record(
             "op/config", json.dumps(desired_state()).encode()
         )
@@ -75,6 +79,7 @@
         ("limits", []),
     )
     def test_bad_state_is_unreadable(self, name, value) -> None:
+        """Guards against applying an invalid desired state."""
         body = {**desired_state(), name: value}
         record = decode_record("op/config", json.dumps(body).encode())
         self.assertIsInstance(record, Unreadable)
@@ -82,12 +87,14 @@
 
 class SettingsTest(unittest.TestCase):
     def test_settings(self) -> None:
+        """Guards against wrong fields and units in decoded settings."""
         cfg = decode_settings(json.dumps(settings_body()))
         self.assertEqual(cfg.bounds.stop_grace_s, 6.0)
         self.assertEqual(cfg.bounds.retry_extra, 56.0)
         self.assertEqual(cfg.regions["huye-a"], "amajyepfo")
 
     def test_unknown_fields_are_ignored(self) -> None:
+        """Guards against rejecting settings with fields added later."""
         body = {**settings_body(), "new": {"x": 1}}
         body["bounds"] = [*body["bounds"], "newBound=3s"]
         decode_settings(json.dumps(body))
@@ -102,6 +109,7 @@
         json.dumps({**settings_body(), "innerPorts": [1]}),
     )
     def test_bad_settings_are_a_coded_error(self, text) -> None:
+        """Guards against exceptions other than `ChiverunError`."""
         with self.assertRaises(ChiverunError) as caught:
             decode_settings(text)
         self.assertIs(caught.exception.code, ResultCode.SETTING_INVALID)
--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of the store client against the stand-in store and its faults."""
+"""Tests of the store client with a stand-in store and its faults."""
 
 import json
 import socket
@@ -24,7 +24,7 @@
 
 
 def free_address() -> str:
-    """Return a free loopback address."""
+    """Return a loopback address with a currently unused port."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
@@ -45,6 +45,7 @@
         self.server.close()
 
     async def test_listing_takes_all_pages(self) -> None:
+        """Guards against a list that ends after the first page."""
         for i in range(120):
             await self.standin.put(f"servers/i-{i:03}", server_entry())
         changes = await self.store.read_all()
@@ -52,6 +53,7 @@
         self.assertEqual(changes.as_of, self.standin.revision)
 
     async def test_watch_returns_changes_and_deletions(self) -> None:
+        """Guards against a watch that loses deletions."""
         as_of = (await self.store.read_all()).as_of
         await self.standin.put("servers/i-1", server_entry())
         await self.standin.remove("servers/i-1")
@@ -62,6 +64,7 @@
         self.assertEqual(quiet.items, [])
 
     async def test_forgotten_history_is_told(self) -> None:
+        """Guards against treating discarded history as no change."""
         as_of = (await self.store.read_all()).as_of
         await self.standin.put("servers/i-1", server_entry())
         self.standin.forget_history()
@@ -69,6 +72,7 @@
             await self.store.changes_since(as_of, 0.1)
 
     async def test_trouble_is_unavailability_not_emptiness(self) -> None:
+        """Guards against treating a failing store as an empty one."""
         for faults in (
             Faults(refuse_with=503),
             Faults(refuse_with=429),
@@ -81,6 +85,7 @@
             self.assertEqual(len((await self.store.read_all()).items), 1)
 
     async def test_lost_response_of_a_write_may_be_repeated(self) -> None:
+        """Guards against a failed registration after a lost response."""
         self.standin.faults = Faults(lose_writes=1)
         with self.assertRaises(CatalogUnavailable):
             await self.store.register(_ME, 0)
@@ -89,6 +94,7 @@
         self.assertIn("chiverun/machines/m1", keys)
 
     async def test_garbage_in_place_of_rows_is_passed_over(self) -> None:
+        """Guards against a malformed row that hides the valid ones."""
         body = {"items": [7, {}, {"key": 1}], "storeRevision": 3}
         rows = store_module._rows(body, "items")
         self.assertEqual(rows, [])
--- a/tests/integrations/test_asyncclient.py
+++ b/tests/integrations/test_asyncclient.py
@@ -1,4 +1,4 @@
-"""Tests of exchanges on an event loop with servers that misbehave."""
+"""Tests of the asynchronous HTTP client with faulty servers."""
 
 import asyncio
 import contextlib
@@ -21,12 +21,12 @@
 _MINE = _HEAD + b"Id: mine\r\n"
 _WHOLE = _MINE + b"Content-Length: 2\r\n\r\nok"
 _OTHER = _HEAD + b"Id: other\r\nContent-Length: 5\r\n\r\nother"
-# Steps of a server that are no bytes to send.
+# Steps of a server's script other than bytes to send.
 _RESET = "reset"
 _HOLD = "hold"
 
-# What the server does with a request, how the exchange ends, and whether the
-# connection may be used again.
+# The server's script, the end of the exchange, and whether the connection is
+# reusable.
 _ENDS = {
     "whole": ([_WHOLE], Answered, True),
     "bytes behind the response": ([_WHOLE + b"more"], Answered, False),
@@ -78,7 +78,7 @@
 
 class AsyncClientTest(unittest.IsolatedAsyncioTestCase):
     async def _serve(self, *scripts) -> str:
-        """Answer each connection's requests by its script."""
+        """Start a server with one script for each connection."""
         self.closed = asyncio.Event()
         pending = list(scripts)
 
@@ -109,7 +109,7 @@
             else:
                 writer.write(step)
         if script == [_WHOLE]:
-            # Kept open: the response does not say that it closes.
+            # The response announces no close, so the connection stays open.
             await reader.read()
 
     async def _connect(self, address: str) -> ClientConnection:
@@ -130,7 +130,7 @@
         return await connection.exchange(request, timeout_s)
 
     async def test_ends(self) -> None:
-        """Guards against a partial or foreign response taken as whole."""
+        """Guards against accepting a partial or another's response."""
         for name, (script, kind, reusable) in _ENDS.items():
             with self.subTest(name):
                 connection = await self._connect(await self._serve(script))
@@ -142,7 +142,7 @@
                     self.assertEqual(b"ok", end.body)
 
     async def test_bytes_while_idle_close_the_connection(self) -> None:
-        """Guards against a late response taken as that of the next one."""
+        """Guards against taking a late response for the next one."""
         connection = await self._connect(
             await self._serve([_WHOLE, b"", _WHOLE])
         )
@@ -152,7 +152,7 @@
         self.assertIsInstance(await self._exchange(connection), NotSent)
 
     async def test_cancelled_exchange_closes_the_connection(self) -> None:
-        """Guards against a server that works on for a client that left."""
+        """Guards against a server that continues a cancelled request."""
         connection = await self._connect(await self._serve([_HOLD]))
         task = asyncio.create_task(self._exchange(connection))
         await asyncio.sleep(0.1)
@@ -163,7 +163,7 @@
         self.assertFalse(connection.reusable)
 
     async def test_refused_connection(self) -> None:
-        """Guards against another error than callers handle."""
+        """Guards against an exception type that callers do not handle."""
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
         with self.assertRaises(OSError):
--- a/tests/integrations/test_asyncserver.py
+++ b/tests/integrations/test_asyncserver.py
@@ -1,4 +1,4 @@
-"""Tests of the event loop's HTTP server with callers that misbehave."""
+"""Tests of the asynchronous HTTP server with faulty callers."""
 
 import asyncio
 import unittest
@@ -50,9 +50,9 @@
             writer.close()
 
     async def test_unreadable_requests(self) -> None:
-        """Guards against a request that two readers understand differently.
+        """Guards against request smuggling and oversized requests.
 
-        What is refused never reaches the handler.
+        A rejected request must not reach the handler.
         """
         head = b"POST /a HTTP/1.1\r\nHost: x\r\n"
         cases = {
@@ -80,7 +80,7 @@
         self.assertEqual([], self.seen)
 
     async def test_slow_head_and_idle_connections_are_closed(self) -> None:
-        """Guards against connections that silent callers hold for ever."""
+        """Guards against connections held open by silent callers."""
         loop = asyncio.get_running_loop()
         for raw in (b"", b"GET /a HT"):
             began_at = loop.time()
@@ -90,7 +90,7 @@
         self.assertEqual(b"/a", answer[-2:])
 
     async def test_pipelined_requests_are_answered_in_order(self) -> None:
-        """Guards against a response that goes to another request."""
+        """Guards against sending a response to another request."""
         raw = b"".join(
             b"GET /%d HTTP/1.1\r\nHost: x\r\n\r\n" % i for i in range(3)
         )
@@ -99,7 +99,7 @@
         self.assertEqual(sorted(places), places)
 
     async def test_chunked_body_is_read_whole(self) -> None:
-        """Guards against a body that is passed on in part."""
+        """Guards against handling a partial chunked body."""
         answer = await self._send(
             b"POST /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n"
@@ -108,7 +108,7 @@
         self.assertEqual(b"/abody", answer[-6:])
 
     async def test_caller_that_leaves_cancels_its_handler(self) -> None:
-        """Guards against work for callers that have gone."""
+        """Guards against work for callers that have disconnected."""
         _, writer = await asyncio.open_connection(*self.address)
         writer.write(b"GET /waits HTTP/1.1\r\nHost: x\r\n\r\n")
         while not self.seen:
@@ -117,20 +117,20 @@
         await asyncio.wait_for(self.cancelled.wait(), _LIMIT_S)
 
     async def test_failed_handler_is_a_500(self) -> None:
-        """Guards against a connection that never gets an answer."""
+        """Guards against a request without a response."""
         answer = await self._send(
             b"GET /fails HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
         )
         self.assertEqual(b"500", answer[9:12])
 
     async def test_closing_server_says_so(self) -> None:
-        """Guards against callers that stay on a stopping instance."""
+        """Guards against callers that stay connected to a stopping server."""
         self.state.closing = True
         answer = await self._send(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertIn(b"Connection: close", answer)
 
     async def test_head_has_a_length_and_no_body(self) -> None:
-        """Guards against bytes behind the response of a HEAD request."""
+        """Guards against a body in the response to a HEAD request."""
         answer = await self._send(
             b"HEAD /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
         )
--- a/tests/integrations/test_backend.py
+++ b/tests/integrations/test_backend.py
@@ -1,4 +1,4 @@
-"""Tests of exchanges against servers that break the protocol."""
+"""Tests of exchanges with servers that violate HTTP or fail."""
 
 import socket
 import threading
@@ -34,10 +34,10 @@
 
 
 class ScriptedServer:
-    """Answers each connection's requests with the given steps in turn.
+    """Server that answers the requests of each connection by a script.
 
-    A step is bytes to send, or what to do with the connection. ``%(id)s`` in
-    the bytes stands for the request's id. `seen` counts requests read.
+    A step of a script is bytes to send or the name of a fault. ``%(id)s`` in
+    the bytes stands for the request's id. `seen` counts the requests read.
     """
 
     def __init__(self, *connections) -> None:
@@ -51,7 +51,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         self.done.set()
         self._listener.close()
 
@@ -90,7 +90,7 @@
                 conn.sendall(step.replace(b"%(id)s", request_id))
 
     def _drip(self, conn: socket.socket, *, is_body: bool) -> None:
-        """Send a byte at a time, for longer than any deadline here."""
+        """Send one byte at a time for longer than the tests' deadlines."""
         conn.sendall(_OK + b"Content-Length: 1000\r\n")
         conn.sendall(b"\r\n" if is_body else b"X-A: ")
         for _ in range(100):
@@ -146,7 +146,7 @@
         return self.backends.exchange(address, Outgoing(**fields | changes))
 
     def test_server_without_ids(self):
-        """Guards against every second answer of such a server being lost."""
+        """Guards against losing every second response of such a server."""
         answer = _OK + b"Content-Length: 2\r\n\r\nok"
         server = self._server(*[(answer, answer)] * 3)
         for number in range(3):
@@ -210,7 +210,7 @@
         ),
     )
     def test_end(self, _case, step, kind):
-        """Guards against a partial or foreign response taken as whole."""
+        """Guards against accepting a partial or another's response."""
         for fresh in (False, True):
             server = self._server([step])
             started = time.monotonic()
@@ -229,7 +229,7 @@
         ("short", _OK + _ID + b"Content-Length: 5\r\n\r\nok"),
     )
     def test_connection_is_not_used_again(self, _case, step):
-        """Guards against a response that stays behind on a connection."""
+        """Guards against reading a stale response on a reused connection."""
         server = self._server([step, step], [_WHOLE, _WHOLE])
         self._exchange(server.address)
         for number in (2, 3):
@@ -238,10 +238,10 @@
             self.assertIn(("X-Request-Id", f"id-{number}"), end.headers)
 
     def test_late_shed_is_no_proof_for_another_request(self):
-        """Guards against "not run" by a shed meant for an earlier request.
+        """Guards against outcome "not run" from an earlier request's shed.
 
-        The stray response has no id and arrives while the connection is in
-        use again.
+        The late response has no id and arrives while the connection is used
+        by the next request.
         """
         stray = b"HTTP/1.1 503 No\r\nX-Shed: overload\r\n"
         stray += b"Content-Length: 0\r\n\r\n"
@@ -251,14 +251,17 @@
         self.assertIs(Outcome.UNKNOWN, classify(end).outcome)
 
     def test_kept_connection_closed_while_idle_is_replaced(self):
-        """Guards against an avoidable unknown outcome."""
+        """Guards against an avoidable unknown outcome.
+
+        The server closes the kept connection between two requests.
+        """
         server = self._server([_WHOLE], [_WHOLE])
         self._exchange(server.address)
         self.assertTrue(server.ended.wait(10))
         self.assertIsInstance(self._exchange(server.address, 2), Answered)
 
     def test_kept_connection_closed_while_writing(self):
-        """Guards against sending a request twice or calling it not run."""
+        """Guards against sending a request twice or reporting it not run."""
         server = self._server([_WHOLE, _RESET], [_WHOLE])
         self._exchange(server.address)
         body = b"x" * 20_000_000
@@ -269,7 +272,7 @@
         self.assertEqual(2, server.seen)
 
     def test_server_that_does_not_read(self):
-        """Guards against a request that is written without end."""
+        """Guards against writing past the deadline."""
         server = self._server()
         started = time.monotonic()
         end = self._exchange(
@@ -279,7 +282,7 @@
         self.assertLess(time.monotonic() - started, 2.0)
 
     def test_request_cut_while_writing_is_not_continued_elsewhere(self):
-        """Guards against the rest of a request on a new connection."""
+        """Guards against sending a request's rest on a new connection."""
         server = self._server([_WHOLE], [_WHOLE])
         conn = self.backends._connection(server.address, True)
         conn.begin(_in(1))
@@ -289,7 +292,10 @@
             conn.send(b"x" * 100)
 
     def test_refused_and_past_deadline_are_not_sent(self):
-        """Guards against sending after the deadline."""
+        """Guards against sending after the deadline.
+
+        A refused connection also proves that nothing has been sent.
+        """
         server = self._server([_WHOLE])
         end = self._exchange(server.address, deadline=_in(-1))
         self.assertIsInstance(end, NotSent)
@@ -298,7 +304,10 @@
         self.assertIsInstance(self._exchange("127.0.0.1:9"), NotSent)
 
     def test_parallel_exchanges_get_their_own_responses(self):
-        """Guards against crossed responses, with failures in between."""
+        """Guards against mixing up the responses of parallel requests.
+
+        The second response on each connection has a wrong id.
+        """
         steps = [_WHOLE, _WHOLE.replace(b"%(id)s", b"id-9"), _WHOLE]
         server = self._server(*[steps for _ in range(400)])
         wrong = []
--- a/tests/integrations/test_peers.py
+++ b/tests/integrations/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of the pyzmq transport."""
+"""Tests of the pyzmq transport between instances."""
 
 import socket
 import threading
@@ -41,6 +41,7 @@
         self.assertTrue(done, f"{len(self._received)} of {count} arrived")
 
     def test_messages_before_and_after_the_peer_starts(self) -> None:
+        """Guards against losing messages that are sent before the start."""
         self.one.send(self._to, b"early")
         self.two.start(self._take)
         self._await(1)
@@ -49,7 +50,7 @@
         self.assertEqual([b"early", b"late"], self._received)
 
     def test_oversized_message_does_not_arrive(self) -> None:
-        """A peer must not be able to fill this process's memory."""
+        """Guards against a peer that exhausts this process's memory."""
         self.two.start(self._take)
         self.one.send(self._to, b"x" * (3 * 1024 * 1024))
         self.one.send(self._to, b"small")
@@ -60,6 +61,7 @@
         self.assertEqual({b"small"}, set(self._received))
 
     def test_queue_to_send_is_bounded(self) -> None:
+        """Guards against a send queue that grows without limit."""
         idle = ZmqPeers(bind=_address(), addresses=AddressMap(mapping={}))
         idle._stopping.set()
         part = b"x" * (1024 * 1024)
@@ -71,7 +73,7 @@
         )
 
     def test_address_in_use(self) -> None:
-        """Two processes at one address would both claim its seats."""
+        """Guards against two processes that claim an address's seats."""
         self.two.start(self._take)
         other = ZmqPeers(bind=self._to, addresses=AddressMap(mapping={}))
         with self.assertRaises(ChiverunError):
--- a/tests/integrations/test_web.py
+++ b/tests/integrations/test_web.py
@@ -1,4 +1,4 @@
-"""Tests of inbound HTTP against broken and ambiguous requests."""
+"""Tests of the HTTP server with malformed and ambiguous requests."""
 
 import socket
 import threading
@@ -22,7 +22,7 @@
 
 
 def free_address() -> str:
-    """Return a loopback address with a port that was free just now."""
+    """Return a loopback address with a currently unused port."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return f"127.0.0.1:{listener.getsockname()[1]}"
 
@@ -55,7 +55,7 @@
         return Reply(status=200, body=b"done")
 
     def _send(self, raw: bytes, *, is_cut: bool = False) -> bytes:
-        """Send bytes; return all that comes until the server closes."""
+        """Send bytes; return all received until the server closes."""
         with socket.create_connection(self.address, 5) as conn:
             received = b""
             try:
@@ -93,7 +93,10 @@
         ("large body", b"Content-Length: 99999999\r\n"),
     )
     def test_ambiguous_request_is_refused(self, _case, lines):
-        """Guards against a request that two parties read differently."""
+        """Guards against request smuggling.
+
+        Another HTTP implementation may parse these requests differently.
+        """
         received = self._send(_POST + lines + b"\r\nbody" + _SMUGGLED)
         self._check_refused(received)
 
@@ -112,7 +115,7 @@
         ("chunk size", _POST + _CHUNKED + b"\r\nzz\r\n" + _SMUGGLED),
     )
     def test_malformed_request_is_refused(self, _case, raw):
-        """Guards against running what is not a whole request."""
+        """Guards against running an incomplete or malformed request."""
         self._check_refused(self._send(raw + _SMUGGLED))
 
     def _check_refused(self, received: bytes) -> None:
@@ -133,14 +136,14 @@
         ("before the last chunk", _POST + _CHUNKED + b"\r\n4\r\nbody\r\n"),
     )
     def test_cut_request_is_not_run(self, _case, raw):
-        """Guards against running a part of a request."""
+        """Guards against running a truncated request."""
         received = self._send(raw, is_cut=True)
         self.assertEqual([], self.seen)
         if received:
             self.assertIn(b"X-Chiverun-Outcome: not-run", received)
 
     def test_request_of_a_caller_that_has_gone_is_not_run(self):
-        """Guards against running what waited until its caller gave up.
+        """Guards against running a queued request whose caller has left.
 
         Both threads of the server are busy until the caller has closed.
         """
@@ -185,7 +188,7 @@
         ),
     )
     def test_error_of_a_handler_is_unknown(self, error, code):
-        """Guards against "not run" after an error past the sending."""
+        """Guards against outcome "not run" for an error after sending."""
         type(self).error = error
         raw = _GET + b"Connection: close\r\nX-Chiverun-Exchange: e1\r\n\r\n"
         received = self._send(raw)
@@ -195,7 +198,7 @@
         self.assertIn(b"X-Chiverun-Exchange: e1\r\n", received)
 
     def test_kept_connection_serves_one_request_after_another(self):
-        """Guards against refusing what is in order."""
+        """Guards against rejecting valid requests on a kept connection."""
         with socket.create_connection(self.address, 5) as conn:
             for number in range(3):
                 body = b"x" * number
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,7 +1,7 @@
-"""Runs nose2 and prints the closing line ``N passed, N failed``.
+"""Runs nose2 and prints a last line ``N passed, N failed``.
 
-Tests listed in KNOWN-RED.txt are run and printed, and do not change the exit
-code. A listed test that passes is printed as well, so that the entry can be
+Failures of tests that KNOWN-RED.txt lists are printed and do not change the
+exit code. A listed test that passes is printed too, so that its entry can be
 removed.
 """
 
@@ -14,7 +14,7 @@
 
 
 class _Outcomes:
-    """Collects test ids by outcome through nose2's testOutcome hook."""
+    """Collects test ids by outcome with nose2's testOutcome hook."""
 
     def __init__(self) -> None:
         self.passed: list[str] = []
@@ -24,7 +24,7 @@
     def testOutcome(self, event) -> None:
         name = event.test.id().partition("\n")[0]
         if event.outcome == "subtest" and event.exc_info is None:
-            # Its test is counted as a whole.
+            # Subtests are not counted separately.
             return
         if event.outcome == "skipped":
             self.skipped.append(name)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Tests of the command line with bad input, as a new user would try it."""
+"""Tests of the command line with invalid input and failing stores."""
 
 import contextlib
 import io
@@ -28,7 +28,7 @@
 
 
 def run(*args: str) -> tuple[int, str, str]:
-    """Run the command line in this process."""
+    """Run the command line; return its exit status and output."""
     out, err = io.StringIO(), io.StringIO()
     code = 0
     with (
@@ -73,7 +73,7 @@
         return str(path)
 
     def fails(self, code: ResultCode, *args: str) -> str:
-        """Check for one coded line, the exit status and no change."""
+        """Check the error line, the exit status and the unchanged store."""
         before = dict(self.platform.data)
         status, out, err = run(*args)
         match = _ERROR.fullmatch(err)
@@ -106,7 +106,7 @@
         ("settings", "check"),
     )
     def test_usage(self, *args):
-        """Guards against fire's usage pages, tracebacks and exit code 2."""
+        """Guards against fire's usage pages, tracebacks and exit status 2."""
         self.fails(ResultCode.USAGE, *args)
 
     @params(
@@ -142,7 +142,7 @@
         ),
     )
     def test_ticket_file(self, data, code, words):
-        """Guards against a bad ticket that is accepted or not explained."""
+        """Guards against accepting an invalid ticket or an unclear error."""
         path = str(self.folder / "t.toml")
         if data is not None:
             self.write("t.toml", data)
@@ -167,7 +167,7 @@
         ("[frob]\n", ResultCode.SETTING_UNKNOWN),
     )
     def test_settings_file(self, data, code):
-        """Guards against uncoded errors from a bad settings file."""
+        """Guards against errors without a code for invalid settings."""
         path = str(self.folder / "bad.ini")
         if data is not None:
             self.write("bad.ini", data)
@@ -177,7 +177,7 @@
         self.fails(code, "ticket", "log", path)
 
     def test_folder_and_endless_file(self):
-        """Guards against a traceback, and a read without end."""
+        """Guards against a traceback and against reading without a limit."""
         folder = str(self.folder)
         self.fails(ResultCode.FILE_NOT_READABLE, "ticket", "check", folder)
         self.fails(ResultCode.FILE_NOT_READABLE, "settings", "check", folder)
@@ -185,7 +185,7 @@
         self.fails(ResultCode.TICKET_TOO_LARGE, "ticket", "check", "/dev/zero")
 
     def test_accepted_ticket_is_read_back(self):
-        """Guards against commands that fail on good input."""
+        """Guards against commands that reject valid input."""
         settings = str(self.folder / "op.ini")
         path = self.write("t.toml", _TICKET.format(1))
         for command in ("check", "submit"):
@@ -201,7 +201,7 @@
         self.fails(ResultCode.NO_INSTANCE_REACHABLE, "status", settings)
 
     def test_store_down_and_damaged(self):
-        """Guards against uncoded errors from the store."""
+        """Guards against errors without a code when the store fails."""
         settings = str(self.folder / "op.ini")
         path = self.write("t.toml", _TICKET.format(1))
         self.platform.put("chiverun/head", b"\xff", None)
@@ -212,7 +212,7 @@
             self.fails(ResultCode.STORE_UNAVAILABLE, "ticket", *args, settings)
 
     def test_answers_lost_over_http(self):
-        """Guards against a wrong outcome from the store's client."""
+        """Guards against a wrong outcome when responses to writes are lost."""
         address = Address(f"127.0.0.1:{self.port}")
         store = HttpStore(address=address, timeout_s=0.5)
         log = TicketLog(store=store, sleep=lambda _s: None)
@@ -236,6 +236,7 @@
             return run("platform", "check")
 
     def test_valid_settings(self):
+        """Guards against rejecting a valid settings file."""
         self.path.write_text(json.dumps(settings_body()))
         code, out, _ = self.check({"CHIVERUN_CONFIG": str(self.path)})
         self.assertEqual(code, 0)
@@ -243,6 +244,7 @@
 
     @params(("", "SETTING_MISSING"), ("/nowhere", "FILE_NOT_READABLE"))
     def test_missing_settings(self, path, name):
+        """Guards against errors without a code for a missing file."""
         code, _, err = self.check({"CHIVERUN_CONFIG": path})
         self.assertEqual(code, 1)
         self.assertIn(name, err)
