--- a/chiverun/integrations/backend.py
+++ b/chiverun/integrations/backend.py
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Outgoing:
+class OutgoingRequest:
     """A request to send once; `deadline` is monotonic seconds.
 
     A response's outcome header is only trusted if `to_peer` is set, since
@@ -205,7 +205,7 @@
         self._lock = threading.Lock()
         self._idle: dict[Address, list[_Connection]] = {}
 
-    def exchange(self, address: Address, req: Outgoing) -> ExchangeEnd:
+    def exchange(self, address: Address, req: OutgoingRequest) -> ExchangeEnd:
         """Send a request once and read its complete response."""
         if req.deadline <= self._clock.monotonic():
             return NotSent(detail="deadline passed before sending")
@@ -262,7 +262,7 @@
         conn.close()
 
 
-def _send(conn: _Connection, req: Outgoing) -> ExchangeEnd | None:
+def _send(conn: _Connection, req: OutgoingRequest) -> ExchangeEnd | None:
     """Send a request; return the end of the exchange if sending failed."""
     headers = dict(req.headers)
     if req.to_peer:
@@ -281,7 +281,7 @@
     return None
 
 
-def _receive(conn: _Connection, req: Outgoing) -> ExchangeEnd:
+def _receive(conn: _Connection, req: OutgoingRequest) -> ExchangeEnd:
     """Read a response; check that it is complete and has the right id."""
     try:
         resp = conn.getresponse()
--- a/chiverun/integrations/cancellation.py
+++ b/chiverun/integrations/cancellation.py
@@ -14,8 +14,8 @@
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._sock: socket.socket | None = None
-        self.is_fired = False
-        self.is_ended = False
+        self.is_cancelled = False
+        self.is_closed_by_server = False
 
     def attach(self, sock: socket.socket) -> None:
         """Set the connection to close on cancellation.
@@ -26,7 +26,7 @@
             If the exchange has been cancelled already.
         """
         with self._lock:
-            if self.is_fired:
+            if self.is_cancelled:
                 raise OSError("cancelled before sending")
             self._sock = sock
 
@@ -34,12 +34,12 @@
         """Remove the connection; return whether it was cancelled."""
         with self._lock:
             self._sock = None
-            return self.is_fired
+            return self.is_cancelled
 
-    def fire(self) -> None:
+    def cancel(self) -> None:
         """Cancel the exchange, or prevent it if it has not been sent."""
         with self._lock:
-            self.is_fired = True
+            self.is_cancelled = True
             if self._sock is None:
                 return
             try:
@@ -51,4 +51,4 @@
     def note_closed_by_server(self) -> None:
         """Record that the server closed the connection without a response."""
         with self._lock:
-            self.is_ended = self.is_fired
+            self.is_closed_by_server = self.is_cancelled
--- a/chiverun/integrations/catalogstore.py
+++ b/chiverun/integrations/catalogstore.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from chiverun.core.catalog import Machine
     from chiverun.core.catalog import Revision
-    from chiverun.core.replica import Versioned
+    from chiverun.core.replica import VersionedRecord
 
 
 class CatalogUnavailable(Exception):
@@ -17,7 +17,7 @@
     """
 
 
-class HistoryGone(Exception):
+class HistoryCompacted(Exception):
     """Raised when the store has discarded the changes since a revision."""
 
 
@@ -25,7 +25,7 @@
 class Changes:
     """Records that changed up to a revision."""
 
-    items: "list[Versioned]"
+    items: "list[VersionedRecord]"
     as_of: "Revision"
 
 
--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -14,7 +14,7 @@
 from chiverun.core.exchange import ExchangeEnd
 from chiverun.core.exchange import PeerRefused
 from chiverun.core.idempotency import parse_key
-from chiverun.core.idempotency import Refuse
+from chiverun.core.idempotency import Reject
 from chiverun.core.idempotency import Replay
 from chiverun.core.idempotency import Run
 from chiverun.core.idempotency import StoredResult
@@ -32,24 +32,24 @@
 from chiverun.core.routing import Target
 from chiverun.core.ticket import Region
 from chiverun.core.work import Work
-from chiverun.integrations.backend import Outgoing
-from chiverun.integrations.web import error_reply
-from chiverun.integrations.web import Incoming
-from chiverun.integrations.web import Reply
+from chiverun.integrations.backend import OutgoingRequest
+from chiverun.integrations.web import error_response
+from chiverun.integrations.web import IncomingRequest
+from chiverun.integrations.web import Response
 from chiverun.runtime.execution import Attempt
 from chiverun.runtime.execution import backend_headers
 from chiverun.runtime.execution import epoch_ms
-from chiverun.runtime.execution import HedgeTerms
+from chiverun.runtime.execution import HedgeLimits
 from chiverun.runtime.forward import CLASS_HEADER
 from chiverun.runtime.forward import ORIGIN_HEADER
 from chiverun.runtime.forward import pace_reply
 from chiverun.runtime.forward import SOURCE_HEADER
-from chiverun.runtime.request import EntryRequest
-from chiverun.runtime.request import RequestReader
+from chiverun.runtime.request import ParsedRequest
+from chiverun.runtime.request import RequestParser
 from chiverun.runtime.results import fingerprint
 from chiverun.runtime.results import make_result
-from chiverun.runtime.results import to_reply
-from chiverun.runtime.results import unknown_key
+from chiverun.runtime.results import to_response
+from chiverun.runtime.results import unknown_outcome_response
 from chiverun.runtime.shifting import ShiftOffers
 
 if TYPE_CHECKING:
@@ -86,7 +86,7 @@
     may_have_run: bool = False
 
 
-class Entry:
+class EntryHandler:
     """Handler of the entry address."""
 
     def __init__(
@@ -116,13 +116,13 @@
         self._telemetry = telemetry
         self._lock = threading.Lock()
         self._shifts = ShiftOffers(instance=identity.instance, clock=clock)
-        self._reader = RequestReader(
+        self._reader = RequestParser(
             zone=identity.zone, clock=clock, plane=plane, blocks=blocks
         )
         self._issuers = IssuerDirectory()
         self.in_flight = 0
 
-    def handle(self, req: Incoming) -> Reply:
+    def handle(self, req: IncomingRequest) -> Response:
         """Answer a caller's request."""
         with self._lock:
             self.in_flight += 1
@@ -137,7 +137,7 @@
         self._telemetry.latency.record(self._clock.monotonic() - started)
         return reply
 
-    def _handle(self, req: Incoming) -> Reply:
+    def _handle(self, req: IncomingRequest) -> Response:
         self._issuers.refresh(self._plane.snapshot, self._clock.monotonic())
         try:
             request = self._reader.read(req)
@@ -145,17 +145,19 @@
             # An earlier try with the same key may have run.
             key = IdempotencyKey(req.header("idempotency-key"))
             outcome = self._keys.outcome(key)
-            return error_reply(400, outcome, exc.code, exc.message)
+            return error_response(400, outcome, exc.code, exc.message)
         if request.work.request_class.repeatable:
-            return to_reply(self._run(request))
+            return to_response(self._run(request))
         return self._handle_keyed(req, request)
 
     # Keys.
 
-    def _handle_keyed(self, req: Incoming, request: EntryRequest) -> Reply:
+    def _handle_keyed(
+        self, req: IncomingRequest, request: ParsedRequest
+    ) -> Response:
         key = IdempotencyKey(req.header("idempotency-key"))
         if not key:
-            return error_reply(
+            return error_response(
                 428,
                 Outcome.NOT_RUN,
                 ResultCode.KEY_REQUIRED,
@@ -179,8 +181,8 @@
         )
 
     def _run_or_replay(
-        self, req: Incoming, request: EntryRequest, key: IdempotencyKey
-    ) -> Reply:
+        self, req: IncomingRequest, request: ParsedRequest, key: IdempotencyKey
+    ) -> Response:
         begin = self._keys.begin(
             key, fingerprint(req), wait_until=request.work.deadline
         )
@@ -188,11 +190,13 @@
             case Run():
                 return self._run_keyed(key, request)
             case Replay(result=result):
-                return to_reply(result)
-            case Refuse(outcome=outcome, code=code):
-                return error_reply(409, outcome, code, f"key {key}")
+                return to_response(result)
+            case Reject(outcome=outcome, code=code):
+                return error_response(409, outcome, code, f"key {key}")
 
-    def _run_keyed(self, key: IdempotencyKey, request: EntryRequest) -> Reply:
+    def _run_keyed(
+        self, key: IdempotencyKey, request: ParsedRequest
+    ) -> Response:
         result = StoredResult(
             outcome=Outcome.UNKNOWN,
             code=ResultCode.INTERNAL,
@@ -204,15 +208,15 @@
             result = self._run(request)
         finally:
             self._keys.finish(key, result)
-        return to_reply(result)
+        return to_response(result)
 
     def _ask_issuer(
         self,
-        req: Incoming,
-        request: EntryRequest,
+        req: IncomingRequest,
+        request: ParsedRequest,
         key: IdempotencyKey,
         instance: InstanceId,
-    ) -> Reply:
+    ) -> Response:
         """Pass a request on to the instance that issued its key.
 
         Only the issuer may say that it was not run: another attempt with
@@ -220,12 +224,16 @@
         """
         if req.header(ISSUER_HEADER.lower()):
             # The asking instance has an old address of the issuer.
-            return unknown_key(key, "its issuer has moved")
+            return unknown_outcome_response(key, "its issuer has moved")
         issuer = self._issuers.find(instance)
         if issuer is None:
-            return unknown_key(key, "its issuer is not known to be live")
+            return unknown_outcome_response(
+                key, "its issuer is not known to be live"
+            )
         if self._pace_request(issuer, request) is not None:
-            return unknown_key(key, "the link to its issuer has no room")
+            return unknown_outcome_response(
+                key, "the link to its issuer has no room"
+            )
         headers = backend_headers(req.headers)
         self._name_regions(headers, request.work)
         headers[ISSUER_HEADER] = instance
@@ -233,7 +241,7 @@
         self._telemetry.inject(headers)
         end = self._backends.exchange(
             issuer.addresses.entry,
-            Outgoing(
+            OutgoingRequest(
                 method=req.method,
                 path=req.target,
                 headers=headers,
@@ -248,11 +256,15 @@
         match end:
             case PeerRefused(code=ResultCode.REQUEST_MALFORMED):
                 # It was refused before its key was looked up.
-                return unknown_key(key, "its issuer could not read it")
+                return unknown_outcome_response(
+                    key, "its issuer could not read it"
+                )
             case Answered() | PeerRefused():
-                return to_reply(make_result(end))
+                return to_response(make_result(end))
             case _:
-                return unknown_key(key, "its issuer did not answer")
+                return unknown_outcome_response(
+                    key, "its issuer did not answer"
+                )
 
     def _name_regions(self, headers: dict[str, str], work: Work) -> None:
         headers[SOURCE_HEADER] = work.source_region
@@ -263,7 +275,7 @@
 
     # Attempts.
 
-    def _run(self, request: EntryRequest) -> StoredResult:
+    def _run(self, request: ParsedRequest) -> StoredResult:
         """Run a request; long ones may hold only a part of the threads."""
         if not request.work.is_long:
             return self._run_placed(request)
@@ -274,7 +286,7 @@
         finally:
             self._long_threads.leave()
 
-    def _run_placed(self, request: EntryRequest) -> StoredResult:
+    def _run_placed(self, request: ParsedRequest) -> StoredResult:
         """Place a request until it is answered or may not be tried again."""
         self._budget.deposit()
         progress = _Progress(attempts_left=request.work.request_class.attempts)
@@ -290,7 +302,7 @@
                 break
         return make_result(end, may_have_run=progress.may_have_run)
 
-    def _seats_until(self, request: EntryRequest) -> float:
+    def _seats_until(self, request: ParsedRequest) -> float:
         """Return until when a request waits at an instance without seats.
 
         An unrepeatable one waits to its deadline: its key is of no use
@@ -303,7 +315,7 @@
         )
 
     def _may_wait_for_seats(
-        self, end: ExchangeEnd, request: EntryRequest, until: float
+        self, end: ExchangeEnd, request: ParsedRequest, until: float
     ) -> bool:
         """Tell whether a request that nothing ran is placed again.
 
@@ -323,7 +335,7 @@
         )
 
     def _may_try_again(
-        self, attempt: Attempt, progress: _Progress, request: EntryRequest
+        self, attempt: Attempt, progress: _Progress, request: ParsedRequest
     ) -> bool:
         progress.placements_left -= 1
         if attempt.server is not None:
@@ -347,10 +359,10 @@
                     and self._budget.withdraw()
                 )
 
-    def _has_time(self, request: EntryRequest) -> bool:
+    def _has_time(self, request: ParsedRequest) -> bool:
         return self._clock.monotonic() < request.work.deadline
 
-    def _place(self, request: EntryRequest, progress: _Progress) -> Attempt:
+    def _place(self, request: ParsedRequest, progress: _Progress) -> Attempt:
         """Try the places in order until one takes the request."""
         attempt = Attempt(end=PeerRefused(code=ResultCode.NO_CAPACITY))
         for attempt in self._placements(request, progress):
@@ -359,13 +371,13 @@
         return attempt
 
     def _placements(
-        self, request: EntryRequest, progress: _Progress
+        self, request: ParsedRequest, progress: _Progress
     ) -> Iterator[Attempt]:
         snapshot = self._plane.snapshot
         work = request.work
         now = self._clock.monotonic()
         excluded = progress.excluded
-        hedge = HedgeTerms(
+        hedge = HedgeLimits(
             attempts_left=progress.attempts_left, budget=self._budget
         )
         for target in self._shifts.targets(snapshot, work, now):
@@ -405,7 +417,7 @@
             return False
         return self._executor.expected_wait_s(work) < REGION_DETOUR_S
 
-    def _forward(self, target: Target, request: EntryRequest) -> Attempt:
+    def _forward(self, target: Target, request: ParsedRequest) -> Attempt:
         """Send a request to an instance of another zone."""
         refused = self._pace_request(target, request)
         if refused is not None:
@@ -421,7 +433,7 @@
             self._telemetry.inject(headers)
             end = self._backends.exchange(
                 target.addresses.forward,
-                Outgoing(
+                OutgoingRequest(
                     method=content.method,
                     path=f"/f/{work.service}{content.path}",
                     headers=headers,
@@ -438,7 +450,7 @@
         return Attempt(end=end)
 
     def _pace_request(
-        self, target: Target, request: EntryRequest
+        self, target: Target, request: ParsedRequest
     ) -> Attempt | None:
         """Wait for the link's rate; return a refusal if it has no room."""
         work = request.work
@@ -446,8 +458,8 @@
             return None
         content = request.content
         size = message_bytes(content.headers.items(), content.body)
-        left_s = work.deadline - self._clock.monotonic()
-        reservation = self._links.reserve(target.region, size, left_s)
+        remaining_s = work.deadline - self._clock.monotonic()
+        reservation = self._links.reserve(target.region, size, remaining_s)
         if reservation is None or not self._links.pace(
             reservation, size, work.deadline
         ):
--- a/chiverun/runtime/dialect.py
+++ b/chiverun/runtime/headercodec.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class RequestFacts:
+class RequestMetadata:
     """What a client says of its request; `deadline_s` counts from now."""
 
     request_id: str
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class ResponseFacts:
+class ResponseMetadata:
     """What a server says with a response.
 
     `not_run` proves that the request did not run; `is_other_server` tells
@@ -51,15 +51,17 @@
     cold_s: float | None
 
 
-class Dialect(Protocol):
+class HeaderCodec(Protocol):
     """A platform's own headers, read and written."""
 
-    def request_facts(self, request: "IncomingRequest") -> RequestFacts: ...
+    def request_metadata(
+        self, request: "IncomingRequest"
+    ) -> RequestMetadata: ...
 
     def request_headers(
-        self, headers: "Headers", server: "Server", left_s: float
+        self, headers: "Headers", server: "Server", remaining_s: float
     ) -> "Headers": ...
 
-    def response_facts(
+    def response_metadata(
         self, status: int, headers: "Headers"
-    ) -> ResponseFacts: ...
+    ) -> ResponseMetadata: ...
--- a/chiverun/runtime/selection.py
+++ b/chiverun/runtime/selection.py
@@ -7,8 +7,8 @@
 from chiverun.core.catalog import Route
 from chiverun.core.catalog import ServiceSpec
 from chiverun.core.edgesettings import EdgeBounds
-from chiverun.core.health import Standing
-from chiverun.core.health import standing
+from chiverun.core.health import Eligibility
+from chiverun.core.health import eligibility
 from chiverun.core.ids import InstanceId
 from chiverun.core.ids import RegionName
 from chiverun.core.ids import ServerName
@@ -79,12 +79,12 @@
         zone: ZoneName,
         bounds: EdgeBounds,
         machines: Callable[[], set[InstanceId]],
-        near_zones: Callable[[], list[ZoneName]],
+        region_zones: Callable[[], list[ZoneName]],
     ) -> None:
         self._table = table
         self._region = region
         self._zone = zone
-        self._near_zones = near_zones
+        self._region_zones = region_zones
         self._bounds = bounds
         self._machines = machines
         self._generation = -1
@@ -187,7 +187,7 @@
                     zone = row.server.zone
                     capacity[zone] = capacity.get(zone, 0) + row.server.slots
             # Clients choose evenly among the machines of their region.
-            demand = collections.Counter([*self._near_zones(), self._zone])
+            demand = collections.Counter([*self._region_zones(), self._zone])
             shares = fair_shares(capacity, demand, self._zone)
             self._zone_shares[place.service] = shares
         return place_of("zone", place.key, shares, self._zone)
@@ -212,7 +212,7 @@
             row
             for row in rows
             if now >= row.misdirected_until
-            and standing(row.health, now) is Standing.OPEN
+            and eligibility(row.health, now) is Eligibility.OPEN
         ]
         # Where all servers stall, they are overloaded rather than silent.
         lively = [
@@ -253,7 +253,7 @@
             spec.cold_per_s * self._bounds.cold_excess
             + self._bounds.cold_extra
         )
-        return row.cold.try_take(now, per_s, self._machines())
+        return row.cold.try_consume(now, per_s, self._machines())
 
 
 def _is_open(row: ServerRow, place: Placement, now: float) -> bool:
--- a/tests/core/test_choice.py
+++ b/tests/core/test_choice.py
@@ -17,13 +17,13 @@
 from chiverun.core.exchange import ShedReason
 from chiverun.core.exchange import TimedOut
 from chiverun.core.health import aged_slowness
+from chiverun.core.health import Eligibility
+from chiverun.core.health import eligibility
 from chiverun.core.health import is_slow
 from chiverun.core.health import observe_at_least
 from chiverun.core.health import record
 from chiverun.core.health import ServerHealth
 from chiverun.core.health import SLOW_START_S
-from chiverun.core.health import Standing
-from chiverun.core.health import standing
 from chiverun.core.slots import NameSet
 from chiverun.core.slots import ServerSlots
 from chiverun.core.times import ClassTimes
@@ -143,7 +143,7 @@
         """Guards against comparing servers by their mix of requests."""
         zone = Zoned(state(server("s1", long_slots=4), server("s2")))
         for request_class, seconds in ((READ, 0.01), (EXPORT, 0.5)) * 60:
-            grant = zone.take(request_class, left_s=9.0)
+            grant = zone.take(request_class, remaining_s=9.0)
             zone.advance(seconds)
             zone.admission.release(grant, OK)
         row = zone.admission._health["s1"]
@@ -163,22 +163,22 @@
 
 class HealthTest(unittest.TestCase):
     @params(
-        (OK, 0.01, 1, Standing.OPEN),
-        (BAD, 0.001, 2, Standing.EJECTED),
-        (Reset(detail=""), 0.01, 3, Standing.EJECTED),
-        (NotSent(detail=""), 0.001, 1, Standing.EJECTED),
-        (Shed(reason=ShedReason.OVERLOAD), 0.01, 1, Standing.EJECTED),
-        (Shed(reason=ShedReason.DRAINING), 0.01, 1, Standing.DRAINING),
-        (Shed(reason=ShedReason.DEADLINE), 0.01, 5, Standing.OPEN),
-        (TimedOut(), 2.0, 3, Standing.EJECTED),
+        (OK, 0.01, 1, Eligibility.OPEN),
+        (BAD, 0.001, 2, Eligibility.EJECTED),
+        (Reset(detail=""), 0.01, 3, Eligibility.EJECTED),
+        (NotSent(detail=""), 0.001, 1, Eligibility.EJECTED),
+        (Shed(reason=ShedReason.OVERLOAD), 0.01, 1, Eligibility.EJECTED),
+        (Shed(reason=ShedReason.DRAINING), 0.01, 1, Eligibility.DRAINING),
+        (Shed(reason=ShedReason.DEADLINE), 0.01, 5, Eligibility.OPEN),
+        (TimedOut(), 2.0, 3, Eligibility.EJECTED),
         # A caller's deadline of 5 ms says nothing about the server.
-        (TimedOut(), 0.005, 9, Standing.OPEN),
+        (TimedOut(), 0.005, 9, Eligibility.OPEN),
     )
     def test_standing_after_ends(self, end, latency_s, count, expected):
         row = ServerHealth(name="s1")
         for _ in range(count):
             record(row, end, latency_s, 0.01, 1000.0)
-        self.assertIs(expected, standing(row, 1000.1))
+        self.assertIs(expected, eligibility(row, 1000.1))
 
     def test_fast_errors_count_as_slow(self):
         """Guards against a broken server that attracts traffic."""
--- a/tests/runtime/test_follower.py
+++ b/tests/runtime/test_follower.py
@@ -10,14 +10,14 @@
 from chiverun.core.catalog import Machine
 from chiverun.core.catalog import Server
 from chiverun.core.catalog import ServerState
-from chiverun.core.edgemessages import Beat
+from chiverun.core.edgemessages import Heartbeat
 from chiverun.core.edgemessages import Pull
 from chiverun.core.edgemessages import Snapshot
 from chiverun.core.edgemessages import Update
-from chiverun.core.replica import Versioned
+from chiverun.core.replica import VersionedRecord
 from chiverun.integrations.catalogstore import CatalogUnavailable
 from chiverun.integrations.catalogstore import Changes
-from chiverun.integrations.catalogstore import HistoryGone
+from chiverun.integrations.catalogstore import HistoryCompacted
 from chiverun.runtime.follower import CatalogFollower
 
 _STATE = DesiredState(version=1, routes=(), services=(), limits=ClientLimits())
@@ -46,9 +46,9 @@
     )
 
 
-def _items(*records: tuple[str, int, object]) -> list[Versioned]:
+def _items(*records: tuple[str, int, object]) -> list[VersionedRecord]:
     return [
-        Versioned(key=key, revision=revision, record=record)
+        VersionedRecord(key=key, revision=revision, record=record)
         for key, revision, record in records
     ]
 
@@ -95,7 +95,7 @@
         self.addCleanup(self.logs.pop_application)
         self.follower = CatalogFollower(
             me=_machine("m5"),
-            life="l1",
+            boot_id="l1",
             store=self.store,
             peers=self.peers,
             seeds=(),
@@ -107,7 +107,7 @@
         self.store.script = [answer]
         try:
             await self.follower._read()
-        except (CatalogUnavailable, HistoryGone) as exc:
+        except (CatalogUnavailable, HistoryCompacted) as exc:
             self.follower._note_failure(exc)
 
     async def _begin(self) -> None:
@@ -128,7 +128,7 @@
     def _update(self, since: int, as_of: int, items, **more) -> Update:
         return Update(
             sender="m1",
-            life="l9",
+            boot_id="l9",
             since=since,
             as_of=as_of,
             items=items,
@@ -166,7 +166,7 @@
 
     async def test_forgotten_history_leads_to_a_listing(self) -> None:
         await self._begin()
-        await self._step(HistoryGone())
+        await self._step(HistoryCompacted())
         listing = [
             ("op/config", 2, _STATE),
             ("chiverun/machines/m5", 4, _machine("m5")),
@@ -183,8 +183,11 @@
 
     async def test_missed_update_is_pulled(self) -> None:
         await self._begin()
-        beat = Beat(
-            machine=_machine("m1"), life="l9", leaving=False, reads_store=True
+        beat = Heartbeat(
+            machine=_machine("m1"),
+            boot_id="l9",
+            leaving=False,
+            reads_store=True,
         )
         self._receive(beat)
         self.peers.sent.clear()
--- a/tests/runtime/test_public.py
+++ b/tests/runtime/test_public.py
@@ -11,8 +11,8 @@
 from chiverun.core.idempotency import KEYS_MAX
 from chiverun.core.idempotency import KeyTable
 from chiverun.core.state import empty_state
-from chiverun.integrations.web import Incoming
-from chiverun.runtime.public import Public
+from chiverun.integrations.web import IncomingRequest
+from chiverun.runtime.public import LookupHandler
 
 
 class IssueTest(unittest.TestCase):
@@ -27,7 +27,7 @@
     )
     def test_issue(self, case, query, status, code):
         """Guards against keys of an instance that cannot serve them."""
-        keys = KeyTable(instance="a-1", life="l", clock=ManualClock())
+        keys = KeyTable(instance="a-1", boot_id="l", clock=ManualClock())
         if case == "full":
             keys.issue(KEYS_MAX)
         plane = types.SimpleNamespace(
@@ -41,7 +41,7 @@
                 seats=() if case == "no seat" else (1,), state=empty_state()
             ),
         )
-        public = Public(
+        public = LookupHandler(
             sources=types.SimpleNamespace(plane=plane),
             keys=keys,
             blocks=None,
@@ -49,7 +49,7 @@
             ttl_s=2.0,
         )
         reply = public.handle(
-            Incoming(
+            IncomingRequest(
                 method="POST",
                 path="/v1/keys",
                 query=query,
