--- a/chiverun/cli.py
+++ b/chiverun/cli.py
@@ -37,8 +37,8 @@
 
 _STATUS_TIMEOUT_S = 2.0
 _STATUS_THREADS = 16
-_LOG_LENGTH = 20
-_LOG_LENGTH_MAX = 1000
+_LOG_COUNT = 20
+_LOG_COUNT_MAX = 1000
 _FILE_BYTES_MAX = 16 * 1024 * 1024
 _SUBMISSION_LENGTH_MAX = 100
 _COMMANDS = (
@@ -48,10 +48,10 @@
 )
 
 # Keeps arguments as text, since fire parses 0007 or 1e5 as numbers.
-_text_arguments = SetParseFn(str)
+_parse_as_text = SetParseFn(str)
 
 
-class _Pending:
+class _PendingCall:
     """Holds the parsed command until the whole command line is checked.
 
     fire runs a command before it detects surplus arguments.
@@ -65,16 +65,16 @@
     """Make a method store its call for later instead of running it."""
 
     @functools.wraps(method)
-    def note(self, *args, **kwargs) -> None:
+    def store_call(self, *args, **kwargs) -> None:
         self._pending.call = lambda: method(self, *args, **kwargs)
 
-    return _text_arguments(note)
+    return _parse_as_text(store_call)
 
 
 class TicketCommands:
     """Check, submit and read change tickets."""
 
-    def __init__(self, pending: _Pending) -> None:
+    def __init__(self, pending: _PendingCall) -> None:
         self._pending = pending
 
     @_command
@@ -83,7 +83,7 @@
         ticket = _read_ticket_file(file)
         if settings is None:
             return f"ticket {ticket.number}: form is valid"
-        state = _from_store(_log(settings).load)
+        state = _call_store(_open_log(settings).load)
         check_ticket(state, ticket)
         return f"ticket {ticket.number}: valid after ticket {state.number}"
 
@@ -94,51 +94,51 @@
         """Submit a ticket; `submission` repeats an earlier submission."""
         ticket = _read_ticket_file(file)
         cfg = read_operator_settings(settings)
-        reports = _in_force(cfg)
+        reports = _fetch_reports(cfg)
         if ticket.number > 1 and not reports:
             raise ChiverunError(
                 ResultCode.NO_INSTANCE_REACHABLE,
                 "no instance reports which ticket is in force; asked: "
                 f"{', '.join(cfg.instances)}",
             )
-        entry = _log(settings).submit(
-            ticket, _submission_id(submission), reports
+        entry = _open_log(settings).submit(
+            ticket, _parse_submission(submission), reports
         )
         return f"ticket {entry.number}: accepted, digest {entry.digest}"
 
     @_command
     def show(self, number: str, settings: str) -> str:
         """Show an accepted ticket as JSON."""
-        wanted = _count("number", number, 1, 2**63)
-        entry = _from_store(lambda: _log(settings).entry(wanted))
+        parsed_number = _parse_count("number", number, 1, 2**63)
+        entry = _call_store(lambda: _open_log(settings).entry(parsed_number))
         if entry is None:
             raise ChiverunError(
                 ResultCode.TICKET_NOT_FOUND,
                 f"ticket {number} is not in the log; valid: see ticket log",
             )
-        return _json(entry)
+        return _format_json(entry)
 
     @_command
-    def log(self, settings: str, count: str = str(_LOG_LENGTH)) -> str:
+    def log(self, settings: str, count: str = str(_LOG_COUNT)) -> str:
         """List the newest accepted tickets, newest first."""
-        length = _count("count", count, 1, _LOG_LENGTH_MAX)
-        log = _log(settings)
-        head = _from_store(lambda: log.head().entry)
+        length = _parse_count("count", count, 1, _LOG_COUNT_MAX)
+        log = _open_log(settings)
+        head = _call_store(lambda: log.head().entry)
         if head is None:
             return "no ticket has been accepted"
         lines = []
         for number in range(head.number, max(0, head.number - length), -1):
-            entry = _from_store(lambda n=number: log.entry(n))
+            entry = _call_store(lambda n=number: log.entry(n))
             if entry is None:
                 break
-            lines.append(_log_line(entry))
+            lines.append(_format_entry(entry))
         return "\n".join(lines)
 
 
 class SettingsCommands:
     """Check settings files."""
 
-    def __init__(self, pending: _Pending) -> None:
+    def __init__(self, pending: _PendingCall) -> None:
         self._pending = pending
 
     @_command
@@ -154,7 +154,7 @@
 class PlatformCommands:
     """Run an edge instance on the platform or check its settings."""
 
-    def __init__(self, pending: _Pending) -> None:
+    def __init__(self, pending: _PendingCall) -> None:
         self._pending = pending
 
     @_command
@@ -176,7 +176,7 @@
 class Commands:
     """chiverun: global traffic steering driven by change tickets."""
 
-    def __init__(self, pending: _Pending) -> None:
+    def __init__(self, pending: _PendingCall) -> None:
         self._pending = pending
         self.ticket = TicketCommands(pending)
         self.settings = SettingsCommands(pending)
@@ -202,15 +202,15 @@
                 ResultCode.USAGE, f"json is {json!r}; valid: no value"
             )
         cfg = read_operator_settings(settings)
-        statuses = _statuses(cfg)
+        statuses = _fetch_statuses(cfg)
         if not any(statuses.values()):
             raise ChiverunError(
                 ResultCode.NO_INSTANCE_REACHABLE,
                 f"no instance responds; asked: {', '.join(cfg.instances)}",
             )
         if json == "True":
-            return _json({a: s for a, s in statuses.items()})
-        return _status_table(statuses)
+            return _format_json({a: s for a, s in statuses.items()})
+        return _format_statuses(statuses)
 
     @_command
     def version(self) -> str:
@@ -237,7 +237,7 @@
     return read_ticket(data)
 
 
-def _count(name: str, text: str, low: int, high: int) -> int:
+def _parse_count(name: str, text: str, low: int, high: int) -> int:
     is_number = text.isascii() and text.isdigit() and len(text) < 20
     if not is_number or not low <= int(text) <= high:
         raise ChiverunError(
@@ -247,7 +247,7 @@
     return int(text)
 
 
-def _submission_id(text: str | None) -> str:
+def _parse_submission(text: str | None) -> str:
     if text is None:
         return uuid.uuid4().hex
     if not text.isprintable() or not 1 <= len(text) <= _SUBMISSION_LENGTH_MAX:
@@ -259,7 +259,7 @@
     return text
 
 
-def _log(settings: str) -> TicketLog:
+def _open_log(settings: str) -> TicketLog:
     cfg = read_operator_settings(settings)
     return TicketLog(
         store=HttpStore(
@@ -268,7 +268,7 @@
     )
 
 
-def _from_store(call) -> Any:
+def _call_store(call) -> Any:
     try:
         return call()
     except StoreUnavailable as exc:
@@ -277,7 +277,7 @@
         ) from exc
 
 
-def _status(address: str) -> Status | None:
+def _fetch_status(address: str) -> Status | None:
     host, port = split_address(address)
     with urllib3.HTTPConnectionPool(
         host, port, timeout=_STATUS_TIMEOUT_S, retries=False
@@ -289,23 +289,27 @@
             return None
 
 
-def _statuses(cfg: OperatorSettings) -> dict[str, Status | None]:
+def _fetch_statuses(cfg: OperatorSettings) -> dict[str, Status | None]:
     """Query all instances at once, since an unreachable one takes 2 s."""
     with ThreadPoolExecutor(_STATUS_THREADS) as pool:
         return dict(
-            zip(cfg.instances, pool.map(_status, cfg.instances), strict=True)
+            zip(
+                cfg.instances,
+                pool.map(_fetch_status, cfg.instances),
+                strict=True,
+            )
         )
 
 
-def _in_force(cfg: OperatorSettings) -> list[ReportedState]:
+def _fetch_reports(cfg: OperatorSettings) -> list[ReportedState]:
     return [
         ReportedState(instance=s.instance, number=s.number, digest=s.digest)
-        for s in _statuses(cfg).values()
+        for s in _fetch_statuses(cfg).values()
         if s is not None
     ]
 
 
-def _status_table(statuses: dict[str, Status | None]) -> str:
+def _format_statuses(statuses: dict[str, Status | None]) -> str:
     newest = max((s.number for s in statuses.values() if s), default=0)
     lines = [
         f"{'instance':24} {'zone':18} {'ticket':>7} {'seats':>5} "
@@ -318,12 +322,12 @@
         lines.append(
             f"{status.instance:24} {status.zone:18} {status.number:>7} "
             f"{len(status.seats):>5} {status.in_flight:>6}  "
-            f"{_details(status, newest)}"
+            f"{_format_details(status, newest)}"
         )
     return "\n".join(lines)
 
 
-def _details(status: Status, newest: int) -> str:
+def _format_details(status: Status, newest: int) -> str:
     parts = [f"{s}={n}" for s, n in sorted(status.free_slots.items())]
     parts += [f"link {t}={f:.0%}" for t, f in sorted(status.links.items())]
     if status.number < newest:
@@ -341,7 +345,7 @@
     return ", ".join(parts)
 
 
-def _log_line(entry: Entry) -> str:
+def _format_entry(entry: Entry) -> str:
     ticket = entry.ticket
     return (
         f"{entry.number:>7} {entry.submission:32} {ticket.author}: "
@@ -349,7 +353,7 @@
     )
 
 
-def _json(value: Any) -> str:
+def _format_json(value: Any) -> str:
     return msgspec.json.format(
         msgspec.json.encode(value, enc_hook=_json_hook)
     ).decode()
@@ -369,17 +373,17 @@
     SystemExit
         After help has been shown.
     """
-    pending = _Pending()
-    shown = io.StringIO()
+    pending = _PendingCall()
+    help_text = io.StringIO()
     try:
         with (
-            contextlib.redirect_stdout(shown),
-            contextlib.redirect_stderr(shown),
+            contextlib.redirect_stdout(help_text),
+            contextlib.redirect_stderr(help_text),
         ):
             fire.Fire(lambda: Commands(pending), name="chiverun")
     except FireExit as exc:
         if not exc.code:
-            print(shown.getvalue(), end="")
+            print(help_text.getvalue(), end="")
             raise
         reason = exc.trace.elements[-1].ErrorAsStr()
         raise ChiverunError(ResultCode.USAGE, reason) from exc
--- a/chiverun/integrations/asyncclient.py
+++ b/chiverun/integrations/asyncclient.py
@@ -20,10 +20,10 @@
 from chiverun.core.exchange import TooLarge
 from chiverun.core.ids import Address
 from chiverun.integrations.network import split_address
-from chiverun.integrations.sockets import watch_peer
+from chiverun.integrations.sockets import set_peer_timeout
 
 # The connection fails if the peer acknowledges no data for this long.
-SILENCE_MS = 2000
+PEER_TIMEOUT_MS = 2000
 HEADER_BYTES_MAX = 64 * 1024
 
 Headers = list[tuple[bytes, bytes]]
@@ -68,27 +68,27 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport
         sock = transport.get_extra_info("socket")
-        watch_peer(sock, silence_ms=SILENCE_MS)
+        set_peer_timeout(sock, timeout_ms=PEER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
         if self._waiter is None or self._waiter.done():
             # No request is pending, so the bytes belong to none.
             self.abort()
             return
-        self._advance(data)
+        self._process_events(data)
 
     def eof_received(self) -> bool:
         self.reusable = False
         if self._waiter is not None and not self._waiter.done():
-            self._advance(b"")
+            self._process_events(b"")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.reusable = False
         if self._response is not None:
-            self._finish(Incomplete(detail=f"connection lost: {exc}"))
+            self._set_result(Incomplete(detail=f"connection lost: {exc}"))
         else:
-            self._finish(Reset(detail=f"connection lost: {exc}"))
+            self._set_result(Reset(detail=f"connection lost: {exc}"))
 
     def abort(self) -> None:
         """Close at once, discarding buffered data."""
@@ -127,7 +127,7 @@
             raise
         finally:
             self._waiter = None
-            if self.reusable and self._left_over():
+            if self.reusable and self._has_pending_bytes():
                 self.abort()
 
     def _encode(self, request: OutgoingRequest) -> bytes:
@@ -144,7 +144,7 @@
         end = self._http.send(h11.EndOfMessage()) or b""
         return (head or b"") + body + end
 
-    def _left_over(self) -> bool:
+    def _has_pending_bytes(self) -> bool:
         """Return whether bytes of this exchange are unsent or unread."""
         unsent = self._transport and self._transport.get_write_buffer_size()
         states = (self._http.our_state, self._http.their_state)
@@ -154,20 +154,20 @@
             or states != (h11.DONE, h11.DONE)
         )
 
-    def _advance(self, data: bytes) -> None:
+    def _process_events(self, data: bytes) -> None:
         try:
             self._http.receive_data(data)
             while (event := self._http.next_event()) is not h11.NEED_DATA:
-                if not self._take(event):
+                if not self._handle_event(event):
                     return
         except h11.RemoteProtocolError as exc:
             self.abort()
             if data or self._response is not None:
-                self._finish(Incomplete(detail=str(exc)))
+                self._set_result(Incomplete(detail=str(exc)))
             else:
-                self._finish(Reset(detail="closed without a response"))
+                self._set_result(Reset(detail="closed without a response"))
 
-    def _take(self, event: h11.Event | type[h11.PAUSED]) -> bool:
+    def _handle_event(self, event: h11.Event | type[h11.PAUSED]) -> bool:
         match event:
             case h11.Response():
                 self._response = event
@@ -175,7 +175,7 @@
                 self._body += event.data
                 if len(self._body) > self._body_bytes_max:
                     self.abort()
-                    self._finish(TooLarge(limit=self._body_bytes_max))
+                    self._set_result(TooLarge(limit=self._body_bytes_max))
                     return False
             case h11.EndOfMessage():
                 return self._complete()
@@ -190,10 +190,10 @@
             for name, value in response.headers.raw_items()
         ]
         if not self._request.matches_request(headers):
-            return self._skip()
+            return self._skip_response()
         if self._http.their_state is not h11.DONE:
             self.reusable = False
-        self._finish(
+        self._set_result(
             Answered(
                 status=response.status_code,
                 headers=tuple(headers),
@@ -202,17 +202,17 @@
         )
         return False
 
-    def _skip(self) -> bool:
+    def _skip_response(self) -> bool:
         """Discard a response to another request and parse the next one.
 
         Return False if no further response can follow.
         """
         self.reusable = False
         can_follow = self._http.their_state is h11.DONE
-        rest, is_closed = self._http.trailing_data
-        if not can_follow or (is_closed and not rest):
+        trailing, is_closed = self._http.trailing_data
+        if not can_follow or (is_closed and not trailing):
             self.abort()
-            self._finish(Mismatched(request_id="another request"))
+            self._set_result(Mismatched(request_id="another request"))
             return False
         self._http = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=HEADER_BYTES_MAX
@@ -220,11 +220,11 @@
         self._encode(self._request)
         self._response = None
         self._body = bytearray()
-        if rest:
-            self._http.receive_data(rest)
+        if trailing:
+            self._http.receive_data(trailing)
         return True
 
-    def _finish(self, end: ExchangeEnd) -> None:
+    def _set_result(self, end: ExchangeEnd) -> None:
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(end)
 
--- a/chiverun/integrations/asyncserver.py
+++ b/chiverun/integrations/asyncserver.py
@@ -15,18 +15,18 @@
 from chiverun.core.catalog import ClientLimits
 from chiverun.core.ids import Address
 from chiverun.integrations.network import split_address
-from chiverun.integrations.sockets import watch_peer
+from chiverun.integrations.sockets import set_peer_timeout
 
 _LOG = logbook.Logger("server")
 
 # The connection fails if the caller acknowledges no data for this long.
-SILENCE_MS = 10_000
+PEER_TIMEOUT_MS = 10_000
 BACKLOG = 1024
 # Limit of pipelined bytes that are buffered while a request is handled.
-_AHEAD_BYTES_MAX = 64 * 1024
+_PIPELINED_BYTES_MAX = 64 * 1024
 
 # Statuses whose responses have neither a body nor a Content-Length.
-_BODILESS = (204, 304)
+_BODILESS_STATUSES = (204, 304)
 
 Headers = list[tuple[str, str]]
 
@@ -91,8 +91,8 @@
         self._body = bytearray()
         self._task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._ahead = 0
-        self._in_head = False
+        self._pipelined_bytes = 0
+        self._is_reading_head = False
 
     @property
     def is_busy(self) -> bool:
@@ -102,7 +102,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport
         sock = transport.get_extra_info("socket")
-        watch_peer(sock, silence_ms=SILENCE_MS)
+        set_peer_timeout(sock, timeout_ms=PEER_TIMEOUT_MS)
         self._state.connections.add(self)
         self._set_timer(self._state.limits.header_timeout_s)
 
@@ -118,67 +118,67 @@
 
     def data_received(self, data: bytes) -> None:
         if self._task is not None:
-            self._ahead += len(data)
-            if self._ahead > _AHEAD_BYTES_MAX:
+            self._pipelined_bytes += len(data)
+            if self._pipelined_bytes > _PIPELINED_BYTES_MAX:
                 self._transport.abort()
                 return
-        if self._request is None and not self._in_head:
+        if self._request is None and not self._is_reading_head:
             # The limit counts from the first byte, so that a slow sender
             # cannot extend it.
-            self._in_head = True
+            self._is_reading_head = True
             self._set_timer(self._state.limits.header_timeout_s)
         self._http.receive_data(data)
-        self._advance()
+        self._process_events()
 
     def close_if_idle(self) -> None:
         """Close unless a request is being read or handled."""
         if not self.is_busy and self._transport is not None:
             self._transport.close()
 
-    def _advance(self) -> None:
+    def _process_events(self) -> None:
         try:
             while self._task is None:
                 event = self._http.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     break
-                if not self._take(event):
+                if not self._handle_event(event):
                     return
             if self._http.they_are_waiting_for_100_continue:
                 self._write(
                     h11.InformationalResponse(status_code=100, headers=[])
                 )
         except h11.RemoteProtocolError as exc:
-            self._refuse(exc.error_status_hint or 400, str(exc))
+            self._reject(exc.error_status_hint or 400, str(exc))
 
-    def _take(self, event: h11.Event) -> bool:
+    def _handle_event(self, event: h11.Event) -> bool:
         match event:
             case h11.Request():
                 self._request = event
-                self._in_head = False
+                self._is_reading_head = False
                 self._arrived_at = self._loop.time()
                 self._body = bytearray()
                 if _head_bytes(event) > self._state.limits.header_bytes:
                     # h11 limits only a head that arrives in several pieces.
-                    self._refuse(431, "head over the limit")
+                    self._reject(431, "head over the limit")
                     return False
-                if _has_two_lengths(event):
-                    self._refuse(400, "both a length and chunks")
+                if _has_ambiguous_length(event):
+                    self._reject(400, "both a length and chunks")
                     return False
             case h11.Data():
                 self._body += event.data
                 if len(self._body) > self._state.limits.body_bytes:
-                    self._refuse(413, "body over the limit")
+                    self._reject(413, "body over the limit")
                     return False
                 self._set_timer(self._state.limits.header_timeout_s)
             case h11.EndOfMessage():
                 self._clear_timer()
-                self._start()
+                self._start_handler()
             case h11.ConnectionClosed():
                 self._transport.close()
                 return False
         return True
 
-    def _start(self) -> None:
+    def _start_handler(self) -> None:
         request = IncomingRequest(
             method=self._request.method.decode("ascii"),
             target=self._request.target.decode("ascii"),
@@ -190,7 +190,7 @@
             arrived_at=self._arrived_at,
         )
         self._body = bytearray()
-        self._ahead = 0
+        self._pipelined_bytes = 0
         self._state.last_request_at = self._arrived_at
         self._task = self._loop.create_task(self._serve(request))
 
@@ -216,7 +216,7 @@
         headers = list(response.headers)
         body = response.body if request.method != "HEAD" else b""
         has_length = any(n.lower() == "content-length" for n, _ in headers)
-        if not has_length and response.status not in _BODILESS:
+        if not has_length and response.status not in _BODILESS_STATUSES:
             headers.append(("Content-Length", str(len(response.body))))
         if self._state.closing:
             headers.append(("Connection", "close"))
@@ -234,9 +234,9 @@
             )
             self._transport.close()
             return
-        self._next()
+        self._start_next_cycle()
 
-    def _next(self) -> None:
+    def _start_next_cycle(self) -> None:
         self._request = None
         if self._http.our_state is not h11.DONE:
             self._transport.close()
@@ -246,9 +246,9 @@
             return
         self._http.start_next_cycle()
         self._set_timer(self._state.limits.idle_timeout_s)
-        self._advance()
+        self._process_events()
 
-    def _refuse(self, status: int, reason: str) -> None:
+    def _reject(self, status: int, reason: str) -> None:
         """Respond to an invalid request and close the connection."""
         _LOG.warning(
             "request refused", extra={"status": status, "reason": reason}
@@ -273,18 +273,18 @@
         if data:
             self._transport.write(data)
 
-    def _set_timer(self, seconds: float) -> None:
+    def _set_timer(self, timeout_s: float) -> None:
         self._clear_timer()
-        self._timer = self._loop.call_later(seconds, self._time_out)
+        self._timer = self._loop.call_later(timeout_s, self._on_timeout)
 
     def _clear_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _time_out(self) -> None:
+    def _on_timeout(self) -> None:
         if self._request is not None:
-            self._refuse(408, "request was not complete in time")
+            self._reject(408, "request was not complete in time")
         else:
             self._transport.close()
 
@@ -296,7 +296,7 @@
     return len(request.method) + len(request.target) + fields
 
 
-def _has_two_lengths(request: h11.Request) -> bool:
+def _has_ambiguous_length(request: h11.Request) -> bool:
     names = {name for name, _ in request.headers}
     return b"transfer-encoding" in names and b"content-length" in names
 
--- a/chiverun/integrations/backend.py
+++ b/chiverun/integrations/backend.py
@@ -41,7 +41,7 @@
 
 _CHUNK_BYTES = 65536
 _CONNECT_TIMEOUT_S = 1.0
-_FAILURES = (HTTPError, http.client.HTTPException, OSError, ValueError)
+_EXCHANGE_ERRORS = (HTTPError, http.client.HTTPException, OSError, ValueError)
 HOP_HEADERS = frozenset(
     {
         "connection",
@@ -77,26 +77,26 @@
     cancellation: Cancellation | None = None
 
 
-class _Reader(io.BufferedReader):
-    """Reader that records on close whether bytes followed the response."""
+class _ResponseReader(io.BufferedReader):
+    """Records on close whether bytes followed the response."""
 
-    excess = False
+    has_trailing_bytes = False
 
-    def __init__(self, sock: "_Socket") -> None:
+    def __init__(self, sock: "_DeadlineSocket") -> None:
         super().__init__(socket.SocketIO(sock, "r"))
         self._owner = sock
 
     def close(self) -> None:
         if not self.closed:
-            self._owner.is_ended = True
+            self._owner.is_finished = True
             try:
-                self.excess = bool(self.peek(1))
+                self.has_trailing_bytes = bool(self.peek(1))
             except (OSError, ValueError):
-                self.excess = False
+                self.has_trailing_bytes = False
         super().close()
 
 
-class _Socket(socket.socket):
+class _DeadlineSocket(socket.socket):
     """A socket whose operations share the deadline of one exchange.
 
     With a time-out for each operation only, a server that sends one byte at
@@ -105,15 +105,15 @@
 
     clock: Clock
     deadline = 0.0
-    reader: _Reader
-    is_ended = False
+    reader: _ResponseReader
+    is_finished = False
 
-    def begin(self, deadline: float) -> None:
+    def start_exchange(self, deadline: float) -> None:
         """Start an exchange that ends by `deadline` (monotonic seconds)."""
         self.deadline = deadline
-        self.is_ended = False
+        self.is_finished = False
 
-    def limit(self) -> None:
+    def apply_deadline(self) -> None:
         """Set the socket's time-out to the time left until the deadline.
 
         Raises
@@ -121,7 +121,7 @@
         TimeoutError
             If the deadline has passed.
         """
-        if self.is_ended:
+        if self.is_finished:
             self.settimeout(0.0)
             return
         left = self.deadline - self.clock.monotonic()
@@ -130,23 +130,23 @@
         self.settimeout(left)
 
     def recv_into(self, *args, **kwargs) -> int:
-        self.limit()
+        self.apply_deadline()
         return super().recv_into(*args, **kwargs)
 
     def sendall(self, *args, **kwargs) -> None:
-        self.limit()
+        self.apply_deadline()
         super().sendall(*args, **kwargs)
 
-    def makefile(self, *_args, **_kwargs) -> _Reader:
+    def makefile(self, *_args, **_kwargs) -> _ResponseReader:
         """Return a reader for one response."""
         self._io_refs += 1
-        self.reader = _Reader(self)
+        self.reader = _ResponseReader(self)
         return self.reader
 
-    def end(self) -> bool:
+    def finish_exchange(self) -> bool:
         """End an exchange; return whether bytes followed its response."""
         self.reader.close()
-        return self.reader.excess
+        return self.reader.has_trailing_bytes
 
 
 class _Connection(HTTPConnection):
@@ -157,39 +157,42 @@
         self._clock = clock
         self._deadline = 0.0
         self.exchanges = 0
-        self.is_identified = False
-        self.handed = False
-        self.socket: _Socket | None = None
+        self.has_response_id = False
+        self.has_started_sending = False
+        self.socket: _DeadlineSocket | None = None
         self.cancellation: Cancellation | None = None
 
-    def begin(self, deadline: float) -> None:
+    def start_exchange(self, deadline: float) -> None:
         """Prepare for an exchange that ends by `deadline`."""
         self._deadline = deadline
-        self.handed = False
+        self.has_started_sending = False
         left = deadline - self._clock.monotonic()
         self.timeout = max(0.001, min(left, _CONNECT_TIMEOUT_S))
         if self.socket is not None:
-            self.socket.begin(deadline)
+            self.socket.start_exchange(deadline)
 
     def send(self, data) -> None:
         if self.sock is None:
-            if self.handed:
+            if self.has_started_sending:
                 # Reconnecting would send only the rest of the request.
                 raise OSError("connection closed while sending")
             self.connect()
-        self.socket.limit()
-        if self.cancellation is not None and not self.handed:
+        self.socket.apply_deadline()
+        if self.cancellation is not None and not self.has_started_sending:
             self.cancellation.attach(self.socket)
-        self.handed = True
+        self.has_started_sending = True
         super().send(data)
 
-    def _new_conn(self) -> _Socket:
-        plain = super()._new_conn()
-        self.socket = _Socket(
-            plain.family, plain.type, plain.proto, fileno=plain.detach()
+    def _new_conn(self) -> _DeadlineSocket:
+        plain_sock = super()._new_conn()
+        self.socket = _DeadlineSocket(
+            plain_sock.family,
+            plain_sock.type,
+            plain_sock.proto,
+            fileno=plain_sock.detach(),
         )
         self.socket.clock = self._clock
-        self.socket.begin(self._deadline)
+        self.socket.start_exchange(self._deadline)
         return self.socket
 
 
@@ -209,8 +212,8 @@
         """Send a request once and read its complete response."""
         if req.deadline <= self._clock.monotonic():
             return NotSent(detail="deadline passed before sending")
-        conn = self._connection(address, req.fresh_connection)
-        conn.begin(req.deadline)
+        conn = self._acquire(address, req.fresh_connection)
+        conn.start_exchange(req.deadline)
         conn.cancellation = req.cancellation
         end: ExchangeEnd | None = None
         try:
@@ -219,13 +222,13 @@
         finally:
             # If responses have no request id, a late response could be
             # taken for the next one. Such a connection is not reused.
-            is_clean = conn.is_identified and isinstance(
+            is_reusable = conn.has_response_id and isinstance(
                 end, Answered | Shed | PeerRefused | PeerUnknown
             )
             if req.cancellation is not None and req.cancellation.detach():
-                is_clean = False
-            if is_clean and conn.sock and not req.fresh_connection:
-                self._keep(address, conn)
+                is_reusable = False
+            if is_reusable and conn.sock and not req.fresh_connection:
+                self._release(address, conn)
             else:
                 conn.close()
         return end
@@ -238,7 +241,7 @@
         for conn in idle:
             conn.close()
 
-    def _connection(self, address: Address, fresh: bool) -> _Connection:
+    def _acquire(self, address: Address, fresh: bool) -> _Connection:
         while not fresh:
             with self._lock:
                 idle = self._idle.get(address)
@@ -253,7 +256,7 @@
         host, port = split_address(self._addresses.translate(address))
         return _Connection(host, port, clock=self._clock)
 
-    def _keep(self, address: Address, conn: _Connection) -> None:
+    def _release(self, address: Address, conn: _Connection) -> None:
         with self._lock:
             idle = self._idle.setdefault(address, [])
             if len(idle) < self._connections:
@@ -276,8 +279,8 @@
             preload_content=False,
             decode_content=False,
         )
-    except _FAILURES as exc:
-        return _failed(exc, conn.handed)
+    except _EXCHANGE_ERRORS as exc:
+        return _classify_failure(exc, conn.has_started_sending)
     return None
 
 
@@ -285,47 +288,51 @@
     """Read a response; check that it is complete and has the right id."""
     try:
         resp = conn.getresponse()
-    except _FAILURES as exc:
+    except _EXCHANGE_ERRORS as exc:
         is_closed = isinstance(exc, http.client.RemoteDisconnected)
         if is_closed and req.cancellation is not None:
-            req.cancellation.note_closed_by_server()
-        return _failed(exc, conn.handed)
+            req.cancellation.set_closed_by_server()
+        return _classify_failure(exc, conn.has_started_sending)
     try:
-        fault = _framing_fault(resp, req.method)
-        if fault is not None:
-            return Incomplete(detail=fault)
+        error = _framing_error(resp, req.method)
+        if error is not None:
+            return Incomplete(detail=error)
         body = _read_body(resp, req.answer_bytes_max)
         if body is None:
             return TooLarge(limit=req.answer_bytes_max)
     except (ReadTimeoutError, TimeoutError):
         return TimedOut()
-    except _FAILURES as exc:
+    except _EXCHANGE_ERRORS as exc:
         return Incomplete(detail=f"{type(exc).__name__}: {exc}")
-    if conn.socket.end():
+    if conn.socket.finish_exchange():
         return Incomplete(detail="bytes after the response")
     name = EXCHANGE_HEADER if req.to_peer else "X-Request-Id"
-    answered_id = resp.headers.get(name, "")
+    response_id = resp.headers.get(name, "")
     # The first response on a connection cannot belong to an earlier request.
-    is_only = not answered_id and conn.exchanges == 0
-    conn.is_identified = bool(answered_id)
-    if answered_id != req.request_id and not is_only:
-        return Mismatched(request_id=answered_id)
-    return _peer_end(resp, body) if req.to_peer else _end(resp, body)
+    is_first = not response_id and conn.exchanges == 0
+    conn.has_response_id = bool(response_id)
+    if response_id != req.request_id and not is_first:
+        return Mismatched(request_id=response_id)
+    return (
+        _classify_peer_response(resp, body)
+        if req.to_peer
+        else _classify_response(resp, body)
+    )
 
 
-def _read_body(resp: urllib3.BaseHTTPResponse, most: int) -> bytes | None:
-    """Return the complete body, None if it exceeds `most` bytes."""
+def _read_body(resp: urllib3.BaseHTTPResponse, max_bytes: int) -> bytes | None:
+    """Return the complete body, None if it exceeds `max_bytes` bytes."""
     chunks = []
     size = 0
     while chunk := resp.read(_CHUNK_BYTES):
         size += len(chunk)
-        if size > most:
+        if size > max_bytes:
             return None
         chunks.append(chunk)
     return b"".join(chunks)
 
 
-def _framing_fault(resp: urllib3.BaseHTTPResponse, method: str) -> str | None:
+def _framing_error(resp: urllib3.BaseHTTPResponse, method: str) -> str | None:
     """Return why a response's length is not reliable, None if it is.
 
     A body that is delimited by the end of the connection is rejected,
@@ -349,26 +356,30 @@
     return None
 
 
-def _end(resp: urllib3.BaseHTTPResponse, body: bytes) -> ExchangeEnd:
-    shed = resp.headers.get("X-Shed")
-    if resp.status == 503 and shed in {r.value for r in ShedReason}:
-        return Shed(reason=ShedReason(shed))
+def _classify_response(
+    resp: urllib3.BaseHTTPResponse, body: bytes
+) -> ExchangeEnd:
+    shed_reason = resp.headers.get("X-Shed")
+    if resp.status == 503 and shed_reason in {r.value for r in ShedReason}:
+        return Shed(reason=ShedReason(shed_reason))
     return _answered(resp, body)
 
 
-def _peer_end(resp: urllib3.BaseHTTPResponse, body: bytes) -> ExchangeEnd:
+def _classify_peer_response(
+    resp: urllib3.BaseHTTPResponse, body: bytes
+) -> ExchangeEnd:
     match resp.headers.get("X-Chiverun-Outcome"):
         case Outcome.ANSWERED.value:
             return _answered(resp, body)
         case Outcome.NOT_RUN.value:
-            return PeerRefused(code=_code(resp))
+            return PeerRefused(code=_result_code(resp))
         case Outcome.UNKNOWN.value if (
-            _code(resp) is ResultCode.OK and resp.status >= 500
+            _result_code(resp) is ResultCode.OK and resp.status >= 500
         ):
             # A backend server's 5xx response, forwarded by the peer.
             return _answered(resp, body)
         case _:
-            return PeerUnknown(code=_code(resp))
+            return PeerUnknown(code=_result_code(resp))
 
 
 def _answered(resp: urllib3.BaseHTTPResponse, body: bytes) -> Answered:
@@ -387,17 +398,19 @@
     return name in HOP_HEADERS or name.startswith("x-chiverun-")
 
 
-def _code(resp: urllib3.BaseHTTPResponse) -> ResultCode:
+def _result_code(resp: urllib3.BaseHTTPResponse) -> ResultCode:
     try:
         return ResultCode(int(resp.headers.get("X-Chiverun-Code", "")))
     except ValueError:
         return ResultCode.INTERNAL
 
 
-def _failed(exc: Exception, handed: bool) -> ExchangeEnd:
+def _classify_failure(
+    exc: Exception, has_started_sending: bool
+) -> ExchangeEnd:
     """Classify a failure that occurred before the response's headers."""
     detail = f"{type(exc).__name__}: {exc}"
-    if not handed:
+    if not has_started_sending:
         return NotSent(detail=detail)
     if isinstance(exc, ReadTimeoutError | TimeoutError):
         return TimedOut()
--- a/chiverun/integrations/cancellation.py
+++ b/chiverun/integrations/cancellation.py
@@ -48,7 +48,7 @@
                 # The server has closed the connection already.
                 pass
 
-    def note_closed_by_server(self) -> None:
+    def set_closed_by_server(self) -> None:
         """Record that the server closed the connection without a response."""
         with self._lock:
             self.is_closed_by_server = self.is_cancelled
--- a/chiverun/integrations/logs.py
+++ b/chiverun/integrations/logs.py
@@ -11,8 +11,8 @@
 from chiverun.core.ids import InstanceId
 
 # Further lines are dropped while this many wait for a slow reader.
-_WAITING_LINES_MAX = 4096
-_DESCRIPTOR = 1
+_QUEUED_LINES_MAX = 4096
+_STDOUT_FD = 1
 
 
 def set_up_logs(*, level: str, instance: InstanceId) -> None:
@@ -34,7 +34,7 @@
 
 
 def _formatter(instance: InstanceId):
-    def formatted(record: logbook.LogRecord, _handler) -> str:
+    def format_record(record: logbook.LogRecord, _handler) -> str:
         line = {
             "time": record.time.isoformat(timespec="milliseconds"),
             "level": record.level_name,
@@ -47,7 +47,7 @@
             line["exception"] = record.formatted_exception
         return msgspec.json.encode(line, enc_hook=str).decode()
 
-    return formatted
+    return format_record
 
 
 class _QueueHandler(logbook.Handler, logbook.StringFormatterHandlerMixin):
@@ -58,21 +58,21 @@
         logbook.StringFormatterHandlerMixin.__init__(self, None)
         self._lines: collections.deque[str] = collections.deque()
         self._dropped = 0
-        self._ready = threading.Event()
+        self._has_lines = threading.Event()
         thread = threading.Thread(target=self._run, daemon=True, name="logs")
         thread.start()
 
     def emit(self, record: logbook.LogRecord) -> None:
-        if len(self._lines) >= _WAITING_LINES_MAX:
+        if len(self._lines) >= _QUEUED_LINES_MAX:
             self._dropped += 1
             return
         self._lines.append(self.format(record))
-        self._ready.set()
+        self._has_lines.set()
 
     def _run(self) -> None:
         while True:
-            self._ready.wait()
-            self._ready.clear()
+            self._has_lines.wait()
+            self._has_lines.clear()
             while self._lines:
                 self._write(self._lines.popleft())
             if self._dropped:
@@ -84,7 +84,7 @@
         data = (line + "\n").encode()
         while data:
             try:
-                data = data[os.write(_DESCRIPTOR, data) :]
+                data = data[os.write(_STDOUT_FD, data) :]
             except OSError:
                 # The reader of the output has closed it.
                 return
--- a/chiverun/integrations/peers.py
+++ b/chiverun/integrations/peers.py
@@ -13,12 +13,12 @@
 from chiverun.integrations.network import AddressMap
 
 _MESSAGE_BYTES_MAX = 2 * 1024 * 1024
-_HIGH_WATER_MARK = 256
+_SEND_HIGH_WATER_MARK = 256
 _RECONNECT_MS_MAX = 500
 # Limit for connects, handshakes and unacknowledged data. With zmq's defaults
 # (30 s for a handshake), a zone that rejoined after a partition while the
 # store was down received a ticket only after 13 to 20 s.
-_DEAD_LINK_MS = 1500
+_LINK_TIMEOUT_MS = 1500
 _RECEIVE_HIGH_WATER_MARK = 512
 # Limit of the send queue; the oldest messages are dropped first.
 OUTBOX_BYTES_MAX = 32 * 1024 * 1024
@@ -43,7 +43,7 @@
             collections.deque()
         )
         self._outbox_bytes = 0
-        self._wake_lock = threading.Lock()
+        self._outbox_lock = threading.Lock()
         self._stopping = threading.Event()
         self._thread: threading.Thread | None = None
         self._dealers: collections.OrderedDict[
@@ -72,10 +72,10 @@
                 ResultCode.PORT_IN_USE,
                 f"cannot listen on {self._bind}: {exc}",
             ) from exc
-        self._wake_in = self._context.socket(zmq.PAIR)
-        self._wake_in.bind("inproc://wake")
-        self._wake_out = self._context.socket(zmq.PAIR)
-        self._wake_out.connect("inproc://wake")
+        self._wake_receiver = self._context.socket(zmq.PAIR)
+        self._wake_receiver.bind("inproc://wake")
+        self._wake_sender = self._context.socket(zmq.PAIR)
+        self._wake_sender.connect("inproc://wake")
         self._receive = receive
         self._thread = threading.Thread(
             target=self._run, daemon=True, name="peers"
@@ -84,7 +84,7 @@
 
     def send(self, address: Address, payload: bytes) -> None:
         """Queue a message, which is dropped if the peer is not connected."""
-        with self._wake_lock:
+        with self._outbox_lock:
             self._outbox.append((address, payload))
             self._outbox_bytes += len(payload)
             while (
@@ -96,18 +96,18 @@
                 self.messages_dropped += 1
             if not self._stopping.is_set():
                 try:
-                    self._wake_out.send(b"", zmq.NOBLOCK)
+                    self._wake_sender.send(b"", zmq.NOBLOCK)
                 except zmq.ZMQError:
                     pass
 
     def stop(self) -> None:
         """Send the queued messages and close the sockets."""
-        with self._wake_lock:
+        with self._outbox_lock:
             self._stopping.set()
             if self._thread is None:
                 return
             try:
-                self._wake_out.send(b"", zmq.NOBLOCK)
+                self._wake_sender.send(b"", zmq.NOBLOCK)
             except zmq.ZMQError:
                 pass
         self._thread.join(timeout=2)
@@ -115,19 +115,19 @@
     def _run(self) -> None:
         poller = zmq.Poller()
         poller.register(self._router, zmq.POLLIN)
-        poller.register(self._wake_in, zmq.POLLIN)
+        poller.register(self._wake_receiver, zmq.POLLIN)
         while not self._stopping.is_set():
             ready = dict(poller.poll(_POLL_MS))
-            if self._wake_in in ready:
-                _drain(self._wake_in)
+            if self._wake_receiver in ready:
+                _drain(self._wake_receiver)
             if self._router in ready:
-                self._take_in()
-            self._send_out()
+                self._receive_messages()
+            self._send_queued()
             self._close_idle()
-        self._send_out()
+        self._send_queued()
         self._close()
 
-    def _take_in(self) -> None:
+    def _receive_messages(self) -> None:
         while True:
             try:
                 parts = self._router.recv_multipart(zmq.NOBLOCK)
@@ -137,9 +137,9 @@
                 self.bytes_received += len(parts[1])
                 self._receive(parts[1])
 
-    def _send_out(self) -> None:
+    def _send_queued(self) -> None:
         while True:
-            with self._wake_lock:
+            with self._outbox_lock:
                 if not self._outbox:
                     return
                 address, payload = self._outbox.popleft()
@@ -152,19 +152,19 @@
 
     def _dealer(self, address: Address) -> zmq.Socket:
         now = time.monotonic()
-        known = self._dealers.pop(address, None)
-        if known is None:
+        entry = self._dealers.pop(address, None)
+        if entry is None:
             dealer = self._context.socket(zmq.DEALER)
             dealer.setsockopt(zmq.LINGER, 200)
-            dealer.setsockopt(zmq.SNDHWM, _HIGH_WATER_MARK)
+            dealer.setsockopt(zmq.SNDHWM, _SEND_HIGH_WATER_MARK)
             dealer.setsockopt(zmq.RECONNECT_IVL, 100)
             dealer.setsockopt(zmq.RECONNECT_IVL_MAX, _RECONNECT_MS_MAX)
-            dealer.setsockopt(zmq.CONNECT_TIMEOUT, _DEAD_LINK_MS)
-            dealer.setsockopt(zmq.HANDSHAKE_IVL, _DEAD_LINK_MS)
-            dealer.setsockopt(zmq.TCP_MAXRT, _DEAD_LINK_MS)
+            dealer.setsockopt(zmq.CONNECT_TIMEOUT, _LINK_TIMEOUT_MS)
+            dealer.setsockopt(zmq.HANDSHAKE_IVL, _LINK_TIMEOUT_MS)
+            dealer.setsockopt(zmq.TCP_MAXRT, _LINK_TIMEOUT_MS)
             dealer.connect(f"tcp://{self._addresses.translate(address)}")
         else:
-            dealer = known[0]
+            dealer = entry[0]
         self._dealers[address] = (dealer, now)
         return dealer
 
@@ -172,8 +172,8 @@
         now = time.monotonic()
         while self._dealers:
             address, (dealer, used_at) = next(iter(self._dealers.items()))
-            crowded = len(self._dealers) > _CONNECTIONS_MAX
-            if now - used_at < _IDLE_S and not crowded:
+            is_over_limit = len(self._dealers) > _CONNECTIONS_MAX
+            if now - used_at < _IDLE_S and not is_over_limit:
                 return
             del self._dealers[address]
             dealer.close()
@@ -182,8 +182,8 @@
         for dealer, _ in self._dealers.values():
             dealer.close()
         self._router.close()
-        self._wake_in.close()
-        self._wake_out.close()
+        self._wake_receiver.close()
+        self._wake_sender.close()
         self._context.term()
 
 
--- a/chiverun/integrations/store.py
+++ b/chiverun/integrations/store.py
@@ -19,7 +19,7 @@
 _WAIT_MARGIN_S = 2.0
 
 
-class _Pair(msgspec.Struct, rename="pascal"):
+class _KeyValuePair(msgspec.Struct, rename="pascal"):
     key: str
     value: str | None
     modify_index: int
@@ -55,9 +55,9 @@
         resp = self._read(f"/v1/kv/{key}", query, timeout_s)
         if resp.status == 404:
             return None
-        pairs = _decode(resp.data, list[_Pair])
+        pairs = _decode(resp.data, list[_KeyValuePair])
         if not pairs:
-            raise StoreUnavailable(f"read {key}: empty list of pairs")
+            raise StoreUnavailable("read returned no key-value pair")
         pair = pairs[0]
         try:
             value = base64.b64decode(pair.value or "", validate=True)
@@ -130,8 +130,8 @@
         )
 
 
-def _decode(data: bytes, kind: Any) -> Any:
+def _decode(data: bytes, type_: Any) -> Any:
     try:
-        return msgspec.json.decode(data, type=kind)
+        return msgspec.json.decode(data, type=type_)
     except (msgspec.DecodeError, ValueError) as exc:
         raise StoreUnavailable(f"read: malformed response: {exc}") from exc
--- a/chiverun/integrations/telemetry.py
+++ b/chiverun/integrations/telemetry.py
@@ -66,7 +66,9 @@
             for scope in resource.scope_metrics:
                 for metric in scope.metrics:
                     for point in metric.data.data_points:
-                        _LOG.info("metric", extra=_point(metric.name, point))
+                        _LOG.info(
+                            "metric", extra=_metric_record(metric.name, point)
+                        )
         return MetricExportResult.SUCCESS
 
     def shutdown(self, timeout_millis: float = 0, **kwargs) -> None:
@@ -76,7 +78,7 @@
         return True
 
 
-def _point(name: str, point) -> dict:
+def _metric_record(name: str, point) -> dict:
     record = {"metric": name, "attributes": dict(point.attributes or {})}
     if hasattr(point, "value"):
         record["value"] = point.value
--- a/chiverun/integrations/web.py
+++ b/chiverun/integrations/web.py
@@ -28,16 +28,16 @@
 BODY_BYTES_MAX = 1024 * 1024
 _HEADER_BYTES_MAX = 16 * 1024
 _IDLE_TIMEOUT_S = 30
-# With cheroot's default of 10, most callers must connect for each request.
-_KEPT_CONNECTIONS_MAX = 1024
-_SOCKET_KEY = "chiverun.socket"
-_HEADER_LINE = re.compile(
+# cheroot's default of 10 makes most callers connect for each request.
+_KEEP_ALIVE_CONNECTIONS_MAX = 1024
+_SOCKET_ENVIRON_KEY = "chiverun.socket"
+_HEADER_LINE_PATTERN = re.compile(
     rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+:[\t\x20-\x7e\x80-\xff]*\r\n"
 )
-_TARGET = re.compile(rb"/[\x21-\x7e]*")
+_TARGET_PATTERN = re.compile(rb"/[\x21-\x7e]*")
 # Rejects overlong numbers before they are converted.
-_LENGTH = re.compile(rb"[0-9]{1,18}")
-_SINGLE_HEADERS = frozenset(
+_LENGTH_PATTERN = re.compile(rb"[0-9]{1,18}")
+_SINGLETON_HEADERS = frozenset(
     {
         b"content-length",
         b"host",
@@ -84,7 +84,7 @@
 
 
 _LOG = logbook.Logger("web")
-_EXCHANGE_KEY = "HTTP_X_CHIVERUN_EXCHANGE"
+_EXCHANGE_ENVIRON_KEY = "HTTP_X_CHIVERUN_EXCHANGE"
 Handler = Callable[[IncomingRequest], Response]
 
 
@@ -128,10 +128,10 @@
     """
 
     def __call__(self, rfile, hdict=None):
-        headers = super().__call__(_CheckedLines(rfile), hdict)
+        headers = super().__call__(_HeaderLineReader(rfile), hdict)
         length = headers.get(b"Content-Length")
         coding = headers.get(b"Transfer-Encoding")
-        if length is not None and not _LENGTH.fullmatch(length):
+        if length is not None and not _LENGTH_PATTERN.fullmatch(length):
             raise ValueError("Malformed Content-Length.")
         if coding is not None and coding != b"chunked":
             raise ValueError("Transfer-Encoding other than chunked.")
@@ -143,7 +143,7 @@
         return b"_" not in key_name
 
 
-class _CheckedLines:
+class _HeaderLineReader:
     """Reads header lines; rejects folded, malformed and repeated ones."""
 
     def __init__(self, rfile) -> None:
@@ -154,10 +154,10 @@
         line = self._rfile.readline(*args)
         if line in (b"", b"\r\n"):
             return line
-        if not _HEADER_LINE.fullmatch(line):
+        if not _HEADER_LINE_PATTERN.fullmatch(line):
             raise ValueError("Malformed header line.")
         name = line.partition(b":")[0].lower()
-        if name in _SINGLE_HEADERS and name in self._names:
+        if name in _SINGLETON_HEADERS and name in self._names:
             raise ValueError(f"Repeated {name.decode()}.")
         self._names.add(name)
         return line
@@ -167,7 +167,7 @@
     header_reader = _HeaderReader()
 
     def read_request_headers(self) -> bool:
-        if not _TARGET.fullmatch(self.uri):
+        if not _TARGET_PATTERN.fullmatch(self.uri):
             self.simple_response("400 Bad Request", "Malformed target.")
             return False
         if not super().read_request_headers():
@@ -196,13 +196,13 @@
             outcome, code = Outcome.UNKNOWN, ResultCode.INTERNAL
         else:
             outcome, code = Outcome.NOT_RUN, ResultCode.REQUEST_MALFORMED
-        reply = error_response(int(text[:3]), outcome, code, msg or text)
+        response = error_response(int(text[:3]), outcome, code, msg or text)
         self.status = text.encode("latin-1")
         self.outheaders = [
             (name.encode("latin-1"), value.encode("latin-1"))
             for name, value in (
-                *reply.headers,
-                ("Content-Length", str(len(reply.body))),
+                *response.headers,
+                ("Content-Length", str(len(response.body))),
                 ("Connection", "close"),
             )
         ]
@@ -210,7 +210,7 @@
         lines += [name + b": " + value for name, value in self.outheaders]
         with contextlib.suppress(OSError):
             self.conn.wfile.write(
-                b"\r\n".join(lines) + b"\r\n\r\n" + reply.body
+                b"\r\n".join(lines) + b"\r\n\r\n" + response.body
             )
 
     def send_headers(self) -> None:
@@ -240,7 +240,7 @@
 
     def get_environ(self) -> dict[str, Any]:
         env = super().get_environ()
-        env[_SOCKET_KEY] = self.req.conn.socket
+        env[_SOCKET_ENVIRON_KEY] = self.req.conn.socket
         return env
 
 
@@ -272,9 +272,9 @@
         self._server.gateway = _Gateway
         self._server.max_request_header_size = _HEADER_BYTES_MAX
         self._server.max_request_body_size = BODY_BYTES_MAX
-        self._server.keep_alive_conn_limit = _KEPT_CONNECTIONS_MAX
+        self._server.keep_alive_conn_limit = _KEEP_ALIVE_CONNECTIONS_MAX
         self._server.read_timeout_s = read_timeout_s
-        self._server.error_log = _no_log
+        self._server.error_log = _discard_log
         self._thread: threading.Thread | None = None
 
     def start(self) -> None:
@@ -309,24 +309,28 @@
         self, environ: dict[str, Any], start_response: Callable
     ) -> Iterable[bytes]:
         try:
-            req = _incoming(environ)
+            req = _read_request(environ)
         except ChiverunError as exc:
             # The rest of the body may still arrive on this connection.
-            reply = error_response(400, Outcome.NOT_RUN, exc.code, exc.message)
-            closing = (("Connection", "close"),)
+            response = error_response(
+                400, Outcome.NOT_RUN, exc.code, exc.message
+            )
+            extra_headers = (("Connection", "close"),)
         else:
-            reply = self._handle(req)
-            closing = ()
-        exchange = environ.get(_EXCHANGE_KEY)
+            response = self._handle(req)
+            extra_headers = ()
+        exchange = environ.get(_EXCHANGE_ENVIRON_KEY)
         headers = [
-            *reply.headers,
-            *closing,
-            ("Content-Length", str(len(reply.body))),
+            *response.headers,
+            *extra_headers,
+            ("Content-Length", str(len(response.body))),
         ]
         if exchange is not None:
             headers.append((EXCHANGE_HEADER, exchange))
-        start_response(f"{reply.status} {_reason(reply.status)}", headers)
-        return [reply.body]
+        start_response(
+            f"{response.status} {_reason_phrase(response.status)}", headers
+        )
+        return [response.body]
 
     def _handle(self, req: IncomingRequest) -> Response:
         """Run the handler; after an exception, the outcome is unknown."""
@@ -344,7 +348,7 @@
             )
 
 
-def _incoming(environ: dict[str, Any]) -> IncomingRequest:
+def _read_request(environ: dict[str, Any]) -> IncomingRequest:
     try:
         body = environ["wsgi.input"].read()
     except (
@@ -366,7 +370,7 @@
         for name, value in environ.items()
         if name.startswith("HTTP_")
     }
-    if _is_abandoned(environ.get(_SOCKET_KEY)):
+    if _is_closed_by_caller(environ.get(_SOCKET_ENVIRON_KEY)):
         raise ChiverunError(
             ResultCode.REQUEST_MALFORMED, "the caller closed its connection"
         )
@@ -383,7 +387,7 @@
     )
 
 
-def _is_abandoned(sock: socket.socket | None) -> bool:
+def _is_closed_by_caller(sock: socket.socket | None) -> bool:
     """Return whether the caller has closed its side of the connection.
 
     The deadline of a request starts when it is read. A request that waited
@@ -399,12 +403,14 @@
         return True
 
 
-def _reason(status: int) -> str:
+def _reason_phrase(status: int) -> str:
     try:
         return http.HTTPStatus(status).phrase
     except ValueError:
         return "Unknown"
 
 
-def _no_log(msg: str = "", level: int = 20, traceback: bool = False) -> None:
+def _discard_log(
+    msg: str = "", level: int = 20, traceback: bool = False
+) -> None:
     """Drop cheroot's own log lines, which are not JSON."""
--- a/chiverun/platform/headercodec.py
+++ b/chiverun/platform/headercodec.py
@@ -14,7 +14,7 @@
 _DEADLINE_MS = "x-chiverun-deadline-ms"
 _EXPECTED_SERVER = "x-chiverun-expect-instance"
 # Only an upstream sets this header, so it proves the response's origin.
-_STAMP = "x-chiverun-response-stamp"
+_RESPONSE_STAMP = "x-chiverun-response-stamp"
 _NOT_RUN = "x-chiverun-not-run"
 _LOAD = "x-chiverun-server-load"
 _SERVER_NAME = "x-chiverun-instance-id"
@@ -30,7 +30,7 @@
         return RequestMetadata(
             request_id=request.header(_REQUEST_ID) or "",
             affinity_key=request.header(_AFFINITY_KEY) or "",
-            deadline_s=_deadline_s(request.header(_DEADLINE_MS)),
+            deadline_s=_parse_deadline_s(request.header(_DEADLINE_MS)),
         )
 
     def request_headers(
@@ -55,31 +55,31 @@
         self, status: int, headers: Headers
     ) -> ResponseMetadata:
         """Return the metadata in the headers of a server's response."""
-        row = {name.lower(): value for name, value in headers}
+        values = {name.lower(): value for name, value in headers}
         return ResponseMetadata(
-            request_id=row.get(_REQUEST_ID),
-            is_stamped=_STAMP in row,
-            not_run=_NOT_RUN in row or status == 421,
+            request_id=values.get(_REQUEST_ID),
+            is_stamped=_RESPONSE_STAMP in values,
+            not_run=_NOT_RUN in values or status == 421,
             is_other_server=status == 421,
-            server=ServerName(row[_SERVER_NAME])
-            if _SERVER_NAME in row
+            server=ServerName(values[_SERVER_NAME])
+            if _SERVER_NAME in values
             else None,
-            load=_load(row.get(_LOAD)),
-            cold_s=_seconds(row.get(_COLD_MS)),
+            load=_parse_load(values.get(_LOAD)),
+            cold_s=_parse_ms(values.get(_COLD_MS)),
         )
 
 
-def _deadline_s(text: str | None) -> float | None:
+def _parse_deadline_s(text: str | None) -> float | None:
     if text is None or not text.strip().isdigit():
         return None
     return min(_DEADLINE_MS_MAX, int(text)) / 1000.0
 
 
-def _seconds(text: str | None) -> float | None:
+def _parse_ms(text: str | None) -> float | None:
     return int(text) / 1000.0 if text and text.strip().isdigit() else None
 
 
-def _load(text: str | None) -> ServerLoad | None:
+def _parse_load(text: str | None) -> ServerLoad | None:
     """Parse ``running,waiting,slots[,slowdown in percent]``."""
     parts = (text or "").split(",")
     if len(parts) < 3 or not all(p.strip().isdigit() for p in parts[:4]):
--- a/chiverun/platform/records.py
+++ b/chiverun/platform/records.py
@@ -36,17 +36,17 @@
     """Decode an item; return None for keys that are not used."""
     try:
         if key == STATE_KEY:
-            return _state(json.loads(data))
+            return _decode_state(json.loads(data))
         if key.startswith(EVACUATION_PREFIX):
             zone = key.removeprefix(EVACUATION_PREFIX)
             return Evacuation(zone=ZoneName(zone))
         if key.startswith(SERVER_PREFIX):
             name = key.removeprefix(SERVER_PREFIX)
-            return _server(ServerName(name), json.loads(data))
+            return _decode_server(ServerName(name), json.loads(data))
         if key.startswith(MACHINE_PREFIX):
             return msgspec.json.decode(data, type=Machine)
     except (
-        values.Malformed,
+        values.InvalidValueError,
         ValueError,
         RecursionError,
         msgspec.MsgspecError,
@@ -60,16 +60,16 @@
     return f"{MACHINE_PREFIX}{machine.name}", msgspec.json.encode(machine)
 
 
-def _server(name: ServerName, body: Any) -> Server:
+def _decode_server(name: ServerName, body: Any) -> Server:
     state = values.field(body, "state", str)
     if state not in ("ready", "draining"):
-        raise values.Malformed(
+        raise values.InvalidValueError(
             f"state: {state!r} is not valid; expected ready or draining"
         )
     address = values.field(body, "address", str)
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
-        raise values.Malformed(
+        raise values.InvalidValueError(
             f"address: {address!r} is not valid; expected ip:port"
         )
     return Server(
@@ -77,36 +77,37 @@
         service=ServiceName(values.field(body, "service", str)),
         address=Address(address),
         zone=ZoneName(values.field(body, "zone", str)),
-        slots=values.whole(body, "slots", least=1),
+        slots=values.integer(body, "slots", minimum=1),
         state=ServerState(state),
         # Remaining cold time when the upstream wrote the entry.
-        cold_left_s=values.seconds(body, "coldLeft"),
+        cold_left_s=values.duration_s(body, "coldLeft"),
         # Start time of the process; a later process may reuse the id.
-        started_ms=values.whole(body, "born") if "born" in body else 0,
+        started_ms=values.integer(body, "born") if "born" in body else 0,
     )
 
 
-def _state(body: Any) -> DesiredState:
+def _decode_state(body: Any) -> DesiredState:
     routes = [
-        _route(values.field(listener, "host", str), rule)
+        _decode_route(values.field(listener, "host", str), rule)
         for listener in values.field(body, "listeners", list)
         for rule in values.field(listener, "rules", list)
     ]
     return DesiredState(
-        version=StateVersion(values.whole(body, "version")),
+        version=StateVersion(values.integer(body, "version")),
         routes=tuple(routes),
         services=tuple(
-            _service(row) for row in values.field(body, "clusters", list)
+            _decode_service(row)
+            for row in values.field(body, "clusters", list)
         ),
-        limits=_limits(values.field(body, "limits", dict)),
+        limits=_decode_limits(values.field(body, "limits", dict)),
     )
 
 
-def _route(host: str, rule: Any) -> Route:
+def _decode_route(host: str, rule: Any) -> Route:
     action = values.field(rule, "action", dict)
     kind = values.field(rule, "kind", str)
     if kind not in ("safe", "unsafe"):
-        raise values.Malformed(
+        raise values.InvalidValueError(
             f"kind: {kind!r} is not valid; expected safe or unsafe"
         )
     return Route(
@@ -114,10 +115,10 @@
         host=host.lower(),
         prefix=values.field(values.field(rule, "match", dict), "prefix", str),
         repeatable=kind == "safe",
-        parts=_parts(action),
-        timeout_s=values.seconds(action, "timeout"),
-        objective_s=values.seconds(rule, "targetLatency"),
-        attempts=values.whole(action, "maxAttempts", least=1),
+        parts=_decode_parts(action),
+        timeout_s=values.duration_s(action, "timeout"),
+        objective_s=values.duration_s(rule, "targetLatency"),
+        attempts=values.integer(action, "maxAttempts", minimum=1),
         priority=int(rule.get("priority") or 0),
         sticky=bool(rule.get("sticky")),
         homes=tuple(
@@ -126,7 +127,7 @@
     )
 
 
-def _parts(action: dict) -> tuple[Part, ...]:
+def _decode_parts(action: dict) -> tuple[Part, ...]:
     if action.get("split"):
         return tuple(
             Part(
@@ -139,20 +140,20 @@
     return (Part(service=service, weight=1.0),)
 
 
-def _service(body: Any) -> ServiceSpec:
+def _decode_service(body: Any) -> ServiceSpec:
     return ServiceSpec(
         name=ServiceName(values.field(body, "name", str)),
         health_path=values.field(body, "healthPath", str),
-        connections_max=values.whole(body, "maxConns", least=1),
-        cold_s=values.seconds(body, "coldStart"),
+        connections_max=values.integer(body, "maxConns", minimum=1),
+        cold_s=values.duration_s(body, "coldStart"),
         cold_per_s=values.number(body, "coldPerS"),
     )
 
 
-def _limits(body: Any) -> ClientLimits:
+def _decode_limits(body: Any) -> ClientLimits:
     return ClientLimits(
-        header_bytes=values.whole(body, "maxHeaderBytes", least=1),
-        body_bytes=values.whole(body, "maxBodyBytes"),
-        header_timeout_s=values.seconds(body, "headerTimeout"),
-        idle_timeout_s=values.seconds(body, "idleTimeout"),
+        header_bytes=values.integer(body, "maxHeaderBytes", minimum=1),
+        body_bytes=values.integer(body, "maxBodyBytes"),
+        header_timeout_s=values.duration_s(body, "headerTimeout"),
+        idle_timeout_s=values.duration_s(body, "idleTimeout"),
     )
--- a/chiverun/platform/settings.py
+++ b/chiverun/platform/settings.py
@@ -20,7 +20,7 @@
 
 # Maps the platform's names of bounds to fields of `EdgeBounds`. The values of
 # durations have a unit.
-_BOUNDS = {
+_BOUND_FIELDS = {
     "grace": "stop_grace_s",
     "retryBudgetRatio": "retry_ratio",
     "budgetExtra": "retry_extra",
@@ -62,14 +62,14 @@
         SETTING_INVALID.
     """
     try:
-        return _decode(json.loads(text))
-    except (values.Malformed, ValueError) as exc:
+        return _decode_body(json.loads(text))
+    except (values.InvalidValueError, ValueError) as exc:
         raise ChiverunError(
             ResultCode.SETTING_INVALID, f"settings file: {exc}"
         ) from exc
 
 
-def _decode(body: Any) -> EdgeSettings:
+def _decode_body(body: Any) -> EdgeSettings:
     listen = values.field(body, "listen", dict)
     ip = values.field(body, "ip", str)
     _, last_port = values.field(body, "innerPorts", list)
@@ -82,36 +82,38 @@
             ZoneName(zone): RegionName(region)
             for zone, region in values.field(body, "zones", dict).items()
         },
-        entry=_address(listen, "front"),
-        readiness=_address(listen, "ready"),
-        directory=_address(listen, "directory"),
+        entry=_decode_address(listen, "front"),
+        readiness=_decode_address(listen, "ready"),
+        directory=_decode_address(listen, "directory"),
         # Peers use the platform's control address, since the seeds in the
         # settings are three control addresses.
-        peer=_address(listen, "control"),
+        peer=_decode_address(listen, "control"),
         metrics=Address(f"{ip}:{last_port}"),
         seeds=tuple(Address(str(seed)) for seed in seeds),
-        store=_address(values.field(body, "platform", dict), "address"),
-        bounds=_bounds(values.field(body, "bounds", list)),
+        store=_decode_address(values.field(body, "platform", dict), "address"),
+        bounds=_decode_bounds(values.field(body, "bounds", list)),
     )
 
 
-def _address(body: dict, name: str) -> Address:
+def _decode_address(body: dict, name: str) -> Address:
     text = values.field(body, name, str)
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit():
-        raise values.Malformed(
+        raise values.InvalidValueError(
             f"{name}: {text!r} is not valid; expected ip:port"
         )
     return Address(text)
 
 
-def _bounds(rows: list) -> EdgeBounds:
-    known: dict[str, float] = {}
+def _decode_bounds(rows: list) -> EdgeBounds:
+    overrides: dict[str, float] = {}
     for row in rows:
         name, _, text = str(row).partition("=")
-        if name not in _BOUNDS:
+        if name not in _BOUND_FIELDS:
             continue
-        known[_BOUNDS[name]] = (
-            values.duration_s(text) if text.endswith("s") else float(text)
+        overrides[_BOUND_FIELDS[name]] = (
+            values.parse_duration_s(text)
+            if text.endswith("s")
+            else float(text)
         )
-    return dataclasses.replace(EdgeBounds(), **known)
+    return dataclasses.replace(EdgeBounds(), **overrides)
--- a/chiverun/platform/store.py
+++ b/chiverun/platform/store.py
@@ -60,8 +60,8 @@
             body = await self._get(path)
             if as_of is None:
                 as_of = Revision(body["storeRevision"])
-            rows = _rows(body, "items")
-            items += [item for row in rows if (item := _item(row))]
+            rows = _valid_rows(body, "items")
+            items += [item for row in rows if (item := _decode_item(row))]
             if not body.get("hasMore") or not rows:
                 return Changes(items=items, as_of=as_of)
             after = quote(rows[-1]["key"], safe="")
@@ -87,9 +87,9 @@
             f"&waitMs={int(wait_s * 1000)}",
             wait_s=wait_s,
         )
-        rows = _rows(body, "events")
+        rows = _valid_rows(body, "events")
         return Changes(
-            items=[item for row in rows if (item := _item(row))],
+            items=[item for row in rows if (item := _decode_item(row))],
             as_of=Revision(body["storeRevision"]),
         )
 
@@ -112,12 +112,12 @@
             "writes": [row],
             "remove": [],
         }
-        answer = await self._call("POST", "/-/kv-txn", json.dumps(body))
-        if answer.status not in (200, 412):
+        response = await self._call("POST", "/-/kv-txn", json.dumps(body))
+        if response.status not in (200, 412):
             raise CatalogUnavailable(
-                f"kv-txn: status {answer.status}; expected 200 or 412"
+                f"kv-txn: status {response.status}; expected 200 or 412"
             )
-        return answer.status == 200
+        return response.status == 200
 
     def close(self) -> None:
         """Close the connection."""
@@ -125,24 +125,24 @@
             self._connection.abort()
 
     async def _get(self, path: str, *, wait_s: float = 0.0) -> dict[str, Any]:
-        answer = await self._call("GET", path, "", wait_s=wait_s)
-        if answer.status == 410:
+        response = await self._call("GET", path, "", wait_s=wait_s)
+        if response.status == 410:
             raise HistoryCompacted
-        if answer.status != 200:
+        if response.status != 200:
             raise CatalogUnavailable(
-                f"{path}: status {answer.status}; expected 200"
+                f"{path}: status {response.status}; expected 200"
             )
         try:
-            body = json.loads(answer.body)
-            values.whole(body, "storeRevision")
-        except (ValueError, values.Malformed) as exc:
+            body = json.loads(response.body)
+            values.integer(body, "storeRevision")
+        except (ValueError, values.InvalidValueError) as exc:
             raise CatalogUnavailable(f"{path}: {exc}") from exc
         return body
 
     async def _call(
         self, method: str, path: str, body: str, *, wait_s: float = 0.0
     ) -> Answered:
-        connection = await self._connected()
+        connection = await self._get_connection()
         headers = [(b"Host", self._address.encode())]
         if body:
             headers += [
@@ -167,7 +167,7 @@
         self._timeout_s = max(CALL_TIMEOUT_S, self._timeout_s * 0.9)
         return end
 
-    async def _connected(self) -> ClientConnection:
+    async def _get_connection(self) -> ClientConnection:
         if self._connection is None or not self._connection.reusable:
             try:
                 self._connection = await connect(
@@ -176,13 +176,11 @@
                     body_bytes_max=_BODY_BYTES_MAX,
                 )
             except (OSError, TimeoutError) as exc:
-                raise CatalogUnavailable(
-                    f"cannot connect to {self._address}: {exc!r}"
-                ) from exc
+                raise CatalogUnavailable(f"connect: {exc!r}") from exc
         return self._connection
 
 
-def _rows(body: dict[str, Any], name: str) -> list[dict[str, Any]]:
+def _valid_rows(body: dict[str, Any], name: str) -> list[dict[str, Any]]:
     """Return the valid rows of a response; log and skip the others."""
     rows = body.get(name)
     if not isinstance(rows, list):
@@ -191,8 +189,8 @@
     for row in rows:
         try:
             values.field(row, "key", str)
-            values.whole(row, "revision")
-        except values.Malformed as exc:
+            values.integer(row, "revision")
+        except values.InvalidValueError as exc:
             _LOG.warning(
                 "skipping malformed store row", extra={"reason": str(exc)}
             )
@@ -201,7 +199,7 @@
     return readable
 
 
-def _item(row: dict[str, Any]) -> VersionedRecord | None:
+def _decode_item(row: dict[str, Any]) -> VersionedRecord | None:
     """Decode an item or event; return None for keys that are not used."""
     key = row["key"]
     if not key.startswith(records.PREFIXES):
@@ -211,7 +209,7 @@
         return VersionedRecord(key=key, revision=revision)
     try:
         data = base64.b64decode(values.field(row, "value", str), validate=True)
-    except (ValueError, values.Malformed) as exc:
+    except (ValueError, values.InvalidValueError) as exc:
         record = Unreadable(reason=str(exc))
     else:
         record = records.decode_record(key, data)
--- a/chiverun/platform/values.py
+++ b/chiverun/platform/values.py
@@ -7,11 +7,11 @@
 _SECONDS = {"ms": 0.001, "s": 1.0}
 
 
-class Malformed(ValueError):
+class InvalidValueError(ValueError):
     """Raised when a field is missing or has an invalid value."""
 
 
-def duration_s(value: Any) -> float:
+def parse_duration_s(value: Any) -> float:
     """Parse a duration such as ``1500ms`` or ``2.5s`` to seconds.
 
     Raises
@@ -20,14 +20,14 @@
     """
     match = _DURATION.fullmatch(value) if isinstance(value, str) else None
     if match is None:
-        raise Malformed(
+        raise InvalidValueError(
             f"{value!r} is not a duration; expected a value such as 1500ms "
             "or 2.5s"
         )
     return float(match[1]) * _SECONDS[match[2]]
 
 
-def field(body: Any, name: str, kind: type | tuple[type, ...]) -> Any:
+def field(body: Any, name: str, expected_type: type | tuple[type, ...]) -> Any:
     """Return a field of an object after checking its type.
 
     Raises
@@ -35,41 +35,43 @@
     Malformed
     """
     if not isinstance(body, dict):
-        raise Malformed(f"expected an object, got {type(body).__name__}")
+        raise InvalidValueError(
+            f"expected an object, got {type(body).__name__}"
+        )
     value = body.get(name)
-    is_number = isinstance(value, bool) and kind is not bool
-    if not isinstance(value, kind) or is_number:
-        raise Malformed(f"{name}: {value!r} has the wrong type")
+    is_unexpected_bool = isinstance(value, bool) and expected_type is not bool
+    if not isinstance(value, expected_type) or is_unexpected_bool:
+        raise InvalidValueError(f"{name}: {value!r} has the wrong type")
     return value
 
 
-def number(body: Any, name: str, *, least: float = 0.0) -> float:
-    """Return a finite number field that is at least `least`.
+def number(body: Any, name: str, *, minimum: float = 0.0) -> float:
+    """Return a finite number field that is at least `minimum`.
 
     Raises
     ------
     Malformed
     """
     value = field(body, name, (int, float))
-    if not least <= value < float("inf"):
-        raise Malformed(f"{name}: {value!r} is below {least:g}")
+    if not minimum <= value < float("inf"):
+        raise InvalidValueError(f"{name}: {value!r} is below {minimum:g}")
     return float(value)
 
 
-def whole(body: Any, name: str, *, least: int = 0) -> int:
-    """Return an integer field that is at least `least`.
+def integer(body: Any, name: str, *, minimum: int = 0) -> int:
+    """Return an integer field that is at least `minimum`.
 
     Raises
     ------
     Malformed
     """
     value = field(body, name, int)
-    if value < least:
-        raise Malformed(f"{name}: {value!r} is below {least}")
+    if value < minimum:
+        raise InvalidValueError(f"{name}: {value!r} is below {minimum}")
     return value
 
 
-def seconds(body: Any, name: str) -> float:
+def duration_s(body: Any, name: str) -> float:
     """Return a duration field, converted to seconds.
 
     Raises
@@ -77,6 +79,6 @@
     Malformed
     """
     try:
-        return duration_s(field(body, name, str))
-    except Malformed as exc:
-        raise Malformed(f"{name}: {exc}") from exc
+        return parse_duration_s(field(body, name, str))
+    except InvalidValueError as exc:
+        raise InvalidValueError(f"{name}: {exc}") from exc
--- a/tests/adapter/test_edge.py
+++ b/tests/adapter/test_edge.py
@@ -44,7 +44,7 @@
         writer.close()
 
 
-def get(
+def build_request(
     path: str,
     request_id: str = "r1",
     *,
@@ -105,7 +105,7 @@
         for upstream in self.upstreams:
             upstream.stop()
 
-    async def _fill_store(self) -> None:
+    async def _write_store(self) -> None:
         await self._put_state()
         for upstream in self.upstreams:
             await self.store.put(f"servers/{upstream.name}", upstream.entry())
@@ -127,7 +127,7 @@
             stderr=asyncio.subprocess.PIPE,
         )
 
-    async def _until(self, condition, what: str) -> None:
+    async def _wait_until(self, condition, what: str) -> None:
         for _ in range(int(_LIMIT_S / 0.1)):
             try:
                 if await condition():
@@ -138,114 +138,124 @@
         self.fail(f"not within {_LIMIT_S:g} s: {what}")
 
     async def _is_ready(self) -> bool:
-        reply = await call(
+        response = await call(
             self.listen["ready"],
             b"GET /-/readiness HTTP/1.1\r\nHost: x\r\n"
             b"Connection: close\r\n\r\n",
         )
-        return reply.status == 200
+        return response.status == 200
 
     async def _is_up(self) -> bool:
-        return (await call(self.listen["front"], get("/read/a"))).status > 0
+        return (
+            await call(self.listen["front"], build_request("/read/a"))
+        ).status > 0
 
-    async def _begin(self) -> None:
-        await self._fill_store()
+    async def _start_until_ready(self) -> None:
+        await self._write_store()
         await self._start()
-        await self._until(self._is_ready, "ready")
+        await self._wait_until(self._is_ready, "ready")
 
-    def _runs(self, request_id: str) -> int:
+    def _run_count(self, request_id: str) -> int:
         return sum(up.runs[request_id] for up in self.upstreams)
 
     async def test_request_is_served_unchanged(self) -> None:
         """Guards against a target or body that changes on the way."""
-        await self._begin()
+        await self._start_until_ready()
         path = "/read/a%2Fb/%7e?q=%20&x=;"
-        reply = await call(self.listen["front"], get(path, "id-1"))
-        self.assertEqual((reply.status, reply.body), (200, b"ran id-1 "))
-        self.assertIn("X-Chiverun-Response-Stamp: s", reply.head)
+        response = await call(
+            self.listen["front"], build_request(path, "id-1")
+        )
+        self.assertEqual((response.status, response.body), (200, b"ran id-1 "))
+        self.assertIn("X-Chiverun-Response-Stamp: s", response.head)
         self.assertEqual(
             [t for u in self.upstreams for t in u.targets], [path]
         )
         posted = await call(
             self.listen["front"],
-            get("/book/1", "id-2", method="POST", body=b"pay 7"),
+            build_request("/book/1", "id-2", method="POST", body=b"pay 7"),
         )
         self.assertEqual(posted.body, b"ran id-2 pay 7")
 
     async def test_no_desired_state_is_503_never_404(self) -> None:
         """Guards against a 404 before the routes are known."""
         await self._start()
-        await self._until(self._is_up, "listening")
-        reply = await call(self.listen["front"], get("/nowhere/"))
-        self.assertEqual(reply.status, 503)
+        await self._wait_until(self._is_up, "listening")
+        response = await call(self.listen["front"], build_request("/nowhere/"))
+        self.assertEqual(response.status, 503)
         self.assertFalse(await self._is_ready())
 
-    async def test_changed_state_and_drains_are_followed(self) -> None:
+    async def test_draining_servers_get_no_requests(self) -> None:
         """Guards against sending requests to draining servers."""
-        await self._begin()
-        missing = await call(self.listen["front"], get("/nowhere/"))
+        await self._start_until_ready()
+        missing = await call(self.listen["front"], build_request("/nowhere/"))
         self.assertEqual(missing.status, 404)
         for upstream in self.upstreams[1:]:
             entry = upstream.entry(state="draining")
             await self.store.put(f"servers/{upstream.name}", entry)
         await asyncio.sleep(2.5)
         for i in range(20):
-            await call(self.listen["front"], get("/read/a", f"d{i}"))
+            await call(self.listen["front"], build_request("/read/a", f"d{i}"))
         runs = [sum(up.runs.values()) for up in self.upstreams]
         self.assertEqual(runs, [20, 0, 0])
 
-    async def test_evacuated_zone_gets_nothing(self) -> None:
+    async def test_evacuated_zone_gets_no_requests(self) -> None:
         """Guards against sending requests to an evacuated zone."""
-        await self._begin()
+        await self._start_until_ready()
         await self.store.put("op/evacuate/musanze-a", b"{}")
         await asyncio.sleep(2.5)
-        reply = await call(self.listen["front"], get("/read/a", "e1"))
-        self.assertEqual((reply.status, self._runs("e1")), (503, 0))
+        response = await call(
+            self.listen["front"], build_request("/read/a", "e1")
+        )
+        self.assertEqual((response.status, self._run_count("e1")), (503, 0))
         await self.store.remove("op/evacuate/musanze-a")
 
-    async def test_store_trouble_leaves_service(self) -> None:
+    async def test_store_failures_do_not_stop_service(self) -> None:
         """Guards against failed requests while the store is unavailable."""
-        await self._begin()
+        await self._start_until_ready()
         for faults in (Faults(refuse_with=503), Faults(silent=True)):
             self.store.faults = faults
             await asyncio.sleep(1.5)
-            reply = await call(self.listen["front"], get("/read/a", "s1"))
-            self.assertEqual(reply.status, 200)
+            response = await call(
+                self.listen["front"], build_request("/read/a", "s1")
+            )
+            self.assertEqual(response.status, 200)
         await self._put_state(9, timeout="1400ms")
         self.store.forget_history()
         self.store.faults = Faults()
         await asyncio.sleep(3.5)
-        reply = await call(self.listen["front"], get("/read/a", "s2"))
-        self.assertEqual(reply.status, 200)
+        response = await call(
+            self.listen["front"], build_request("/read/a", "s2")
+        )
+        self.assertEqual(response.status, 200)
 
     async def test_unrepeatable_request_is_sent_once(self) -> None:
         """Guards against retrying an unsafe request that may have run."""
-        await self._begin()
+        await self._start_until_ready()
         for upstream in self.upstreams:
             upstream.faults = UpstreamFaults(reset=True)
         booked = await call(
-            self.listen["front"], get("/book/1", "u1", method="POST")
+            self.listen["front"], build_request("/book/1", "u1", method="POST")
         )
-        self.assertEqual((booked.status, self._runs("u1")), (502, 1))
-        read = await call(self.listen["front"], get("/read/1", "u2"))
-        self.assertEqual((read.status, self._runs("u2")), (502, 2))
+        self.assertEqual((booked.status, self._run_count("u1")), (502, 1))
+        read = await call(self.listen["front"], build_request("/read/1", "u2"))
+        self.assertEqual((read.status, self._run_count("u2")), (502, 2))
 
-    async def test_shed_request_is_truly_refused(self) -> None:
+    async def test_shed_request_did_not_run(self) -> None:
         """Guards against a 503 for a request that has run."""
-        await self._begin()
+        await self._start_until_ready()
         for upstream in self.upstreams:
             upstream.faults = UpstreamFaults(shed=True)
-        reply = await call(
-            self.listen["front"], get("/book/1", "n1", method="POST")
+        response = await call(
+            self.listen["front"], build_request("/book/1", "n1", method="POST")
         )
-        self.assertEqual((reply.status, self._runs("n1")), (503, 0))
-        self.assertIn("Retry-After", reply.head)
+        self.assertEqual((response.status, self._run_count("n1")), (503, 0))
+        self.assertIn("Retry-After", response.head)
 
-    async def test_answers_of_others_and_broken_ones_are_not_passed_on(
+    async def test_mismatched_and_malformed_responses_are_not_forwarded(
         self,
     ) -> None:
         """Guards against forwarding another's or a malformed response."""
-        await self._begin()
+        await self._start_until_ready()
         bad = [
             b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n"
             b"X-Chiverun-Request-Id: another\r\n\r\nother",
@@ -267,89 +277,97 @@
             for upstream in self.upstreams:
                 answer = answer.replace(b"ID", f"b{i}".encode())
                 upstream.faults = UpstreamFaults(answer=answer)
-            reply = await call(
-                self.listen["front"], get("/book/1", f"b{i}", method="POST")
+            response = await call(
+                self.listen["front"],
+                build_request("/book/1", f"b{i}", method="POST"),
+            )
+            self.assertEqual(
+                (response.status, self._run_count(f"b{i}")), (502, 1)
             )
-            self.assertEqual((reply.status, self._runs(f"b{i}")), (502, 1))
 
-    async def test_extra_answers_are_dropped(self) -> None:
+    async def test_surplus_responses_are_dropped(self) -> None:
         """Guards against taking a surplus response for the next one."""
-        await self._begin()
+        await self._start_until_ready()
         for upstream in self.upstreams:
             upstream.faults = UpstreamFaults(extra=True)
         for i in range(10):
-            reply = await call(self.listen["front"], get("/read/1", f"x{i}"))
-            self.assertEqual(reply.body, f"ran x{i} ".encode())
+            response = await call(
+                self.listen["front"], build_request("/read/1", f"x{i}")
+            )
+            self.assertEqual(response.body, f"ran x{i} ".encode())
 
-    async def test_client_that_leaves_cancels_the_work(self) -> None:
+    async def test_client_disconnect_cancels_the_request(self) -> None:
         """Guards against work for clients that have disconnected."""
-        await self._begin()
+        await self._start_until_ready()
         for upstream in self.upstreams:
             upstream.faults = UpstreamFaults(delay_s=5.0)
         host, port = self.listen["front"].split(":")
         _, writer = await asyncio.open_connection(host, int(port))
-        writer.write(get("/book/1", "g1", method="POST"))
+        writer.write(build_request("/book/1", "g1", method="POST"))
         await asyncio.sleep(0.5)
         writer.close()
 
         async def is_cancelled() -> bool:
             return any("g1" in up.cancelled for up in self.upstreams)
 
-        await self._until(is_cancelled, "work cancelled")
+        await self._wait_until(is_cancelled, "work cancelled")
 
-    async def test_route_timeout_is_kept(self) -> None:
+    async def test_route_timeout_is_applied(self) -> None:
         """Guards against waiting longer than the route's timeout."""
-        await self._begin()
+        await self._start_until_ready()
         for upstream in self.upstreams:
             upstream.faults = UpstreamFaults(delay_s=9.0)
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        reply = await call(
+        started_at = loop.time()
+        response = await call(
             self.listen["front"],
-            get("/book/1", "t1", method="POST", deadline_ms=20000),
+            build_request("/book/1", "t1", method="POST", deadline_ms=20000),
         )
-        self.assertEqual(reply.status, 504)
-        self.assertLess(loop.time() - began, 1.5 + 0.5)
+        self.assertEqual(response.status, 504)
+        self.assertLess(loop.time() - started_at, 1.5 + 0.5)
 
-    async def test_overload_is_refused_and_did_not_run(self) -> None:
+    async def test_requests_rejected_for_overload_did_not_run(self) -> None:
         """Guards against queues that delay every response too long."""
-        await self._begin()
+        await self._start_until_ready()
         for upstream in self.upstreams:
             upstream.faults = UpstreamFaults(delay_s=1.0)
 
         async def post(request_id: str) -> tuple[str, Response]:
-            raw = get("/book/1", request_id, method="POST")
+            raw = build_request("/book/1", request_id, method="POST")
             return request_id, await call(self.listen["front"], raw)
 
         done = await asyncio.gather(*(post(f"o{i}") for i in range(60)))
         refused = [row for row in done if row[1].status == 503]
         # 3 servers run 4 requests each and queue as many. On a busy machine,
         # the clients may be slow enough for two such rounds.
-        statuses = collections.Counter(reply.status for _, reply in done)
+        statuses = collections.Counter(response.status for _, response in done)
         self.assertGreaterEqual(len(refused), 60 - 2 * 24, statuses)
-        for request_id, reply in refused:
-            self.assertEqual(0, self._runs(request_id))
-            self.assertIn("Retry-After", reply.head)
+        for request_id, response in refused:
+            self.assertEqual(0, self._run_count(request_id))
+            self.assertIn("Retry-After", response.head)
         metrics = await call(
             self.metrics,
             b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n",
         )
         self.assertIn(b"chiverun_requests_overload_refused", metrics.body)
 
-    async def test_stop_serves_what_runs_and_ends_cleanly(self) -> None:
+    async def test_stop_completes_running_requests(self) -> None:
         """Guards against requests that are lost when the process stops."""
-        await self._begin()
+        await self._start_until_ready()
         for upstream in self.upstreams:
             upstream.faults = UpstreamFaults(delay_s=1.0)
         waiting = asyncio.create_task(
-            call(self.listen["front"], get("/book/1", "q1", method="POST"))
+            call(
+                self.listen["front"],
+                build_request("/book/1", "q1", method="POST"),
+            )
         )
         await asyncio.sleep(0.3)
         self.process.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.1)
         self.assertFalse(await self._is_ready())
         self.process.send_signal(signal.SIGTERM)
-        late = await call(self.listen["front"], get("/read/1", "q2"))
+        late = await call(self.listen["front"], build_request("/read/1", "q2"))
         self.assertEqual((late.status, (await waiting).status), (200, 200))
         code = await asyncio.wait_for(self.process.wait(), _LIMIT_S)
         self.assertEqual(code, 0)
@@ -361,7 +379,7 @@
 
         The fault occurred in hunt inzira-race, hunt-ba7a-39.
         """
-        await self._begin()
+        await self._start_until_ready()
         host, port = self.listen["front"].split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"GET /read/1 HTTP/1.1\r\nHost: mill.example\r\n\r\n")
@@ -374,30 +392,32 @@
             return loop.time()
 
         closing = asyncio.create_task(closed_at())
-        asked_at = loop.time()
+        signalled_at = loop.time()
         self.process.send_signal(signal.SIGTERM)
         while self.process.returncode is None:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                await call(self.listen["front"], get("/read/1", "k"))
+                await call(self.listen["front"], build_request("/read/1", "k"))
             await asyncio.sleep(0.1)
         # The process exits 0.9 s before the end of the grace period and closes
         # idle connections 0.2 s before it exits.
-        self.assertLess(await closing - asked_at, 6.0 - 0.9 - 0.2)
+        self.assertLess(await closing - signalled_at, 6.0 - 0.9 - 0.2)
         writer.close()
 
     async def test_reload_with_bad_settings_keeps_serving(self) -> None:
         """Guards against an invalid settings file that stops the process."""
-        await self._begin()
+        await self._start_until_ready()
         for text in ("{", json.dumps(self.settings)):
             self.path.write_text(text)
             self.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.3)
-            reply = await call(self.listen["front"], get("/read/1", "h1"))
-            self.assertEqual(reply.status, 200)
+            response = await call(
+                self.listen["front"], build_request("/read/1", "h1")
+            )
+            self.assertEqual(response.status, 200)
 
-    async def test_garbage_on_each_port_harms_nothing(self) -> None:
+    async def test_malformed_requests_on_each_port_are_rejected(self) -> None:
         """Guards against malformed requests that are run or cause a 500."""
-        await self._begin()
+        await self._start_until_ready()
         garbage = [
             b"\x00" * 300 + b"\r\n\r\n",
             b"GET / HTTP/9.9\r\n\r\n",
@@ -409,25 +429,27 @@
         for address in self.listen.values():
             for raw in garbage:
                 try:
-                    reply = await call(address, raw)
+                    response = await call(address, raw)
                 except OSError:
                     continue
-                self.assertNotIn(reply.status, (200, 500))
-        reply = await call(self.listen["front"], get("/read/1", "z1"))
-        self.assertEqual(reply.status, 200)
+                self.assertNotIn(response.status, (200, 500))
+        response = await call(
+            self.listen["front"], build_request("/read/1", "z1")
+        )
+        self.assertEqual(response.status, 200)
 
     async def test_directory_and_metrics(self) -> None:
         """Guards against wrong addresses and missing metrics."""
-        await self._begin()
-        reply = await call(
+        await self._start_until_ready()
+        response = await call(
             self.listen["directory"],
             b"GET /-/resolve?name=mill.example&region=amajyaruguru"
             b"&zone=musanze-a HTTP/1.1\r\nHost: x\r\n"
             b"Connection: close\r\n\r\n",
         )
-        body = json.loads(reply.body)
+        body = json.loads(response.body)
         self.assertEqual(body["addrs"], [self.listen["front"]])
-        await call(self.listen["front"], get("/read/1", "m1"))
+        await call(self.listen["front"], build_request("/read/1", "m1"))
         metrics = await call(
             self.metrics,
             b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n",
@@ -435,7 +457,7 @@
         self.assertIn(b"chiverun_requests", metrics.body)
         self.assertIn(b"chiverun_request_duration", metrics.body)
 
-    async def test_bad_settings_end_with_a_coded_line(self) -> None:
+    async def test_invalid_settings_exit_with_an_error_code(self) -> None:
         """Guards against a traceback for invalid settings."""
         for text in ("", "{", "[]", '{"zone": 7}'):
             self.path.write_text(text)
--- a/tests/adapter/test_metastore.py
+++ b/tests/adapter/test_metastore.py
@@ -18,10 +18,10 @@
 
 
 class WatchTest(unittest.IsolatedAsyncioTestCase):
-    async def test_store_goes_on_after_a_watch_is_left(self) -> None:
+    async def test_cancelled_watch_releases_the_lock(self) -> None:
         """Guards against a lock that a cancelled watch does not release.
 
-        In soak seed 124, all later writes and watches waited for that lock.
+        All later writes and watches waited for that lock in soak seed 124.
         """
         for steps in range(12):
             store = MetaStore()
--- a/tests/adapter/test_records.py
+++ b/tests/adapter/test_records.py
@@ -43,7 +43,7 @@
         server_entry(born="x"),
         server_entry(service=None),
     )
-    def test_bad_entry_names_no_server(self, data) -> None:
+    def test_invalid_entry_is_unreadable(self, data) -> None:
         """Guards against one invalid entry that affects the valid ones."""
         self.assertIsInstance(decode_record("servers/i-1", data), Unreadable)
 
@@ -54,7 +54,7 @@
         self.assertEqual(record, Evacuation(zone=key.rpartition("/")[2]))
 
     @params("op/other", "topics/x", "chiverunx")
-    def test_other_keys_are_not_followed(self, key) -> None:
+    def test_other_keys_are_ignored(self, key) -> None:
         """Guards against decoding keys of other writers."""
         self.assertIsNone(decode_record(key, b"{}"))
 
@@ -108,7 +108,7 @@
         json.dumps({**settings_body(), "bounds": ["grace=soon"]}),
         json.dumps({**settings_body(), "innerPorts": [1]}),
     )
-    def test_bad_settings_are_a_coded_error(self, text) -> None:
+    def test_invalid_settings_raise_setting_invalid(self, text) -> None:
         """Guards against exceptions other than `ChiverunError`."""
         with self.assertRaises(ChiverunError) as caught:
             decode_settings(text)
--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -44,7 +44,7 @@
         self.store.close()
         self.server.close()
 
-    async def test_listing_takes_all_pages(self) -> None:
+    async def test_read_all_reads_all_pages(self) -> None:
         """Guards against a list that ends after the first page."""
         for i in range(120):
             await self.standin.put(f"servers/i-{i:03}", server_entry())
@@ -63,7 +63,7 @@
         quiet = await self.store.changes_since(changes.as_of, 0.05)
         self.assertEqual(quiet.items, [])
 
-    async def test_forgotten_history_is_told(self) -> None:
+    async def test_discarded_history_raises(self) -> None:
         """Guards against treating discarded history as no change."""
         as_of = (await self.store.read_all()).as_of
         await self.standin.put("servers/i-1", server_entry())
@@ -71,7 +71,7 @@
         with self.assertRaises(HistoryCompacted):
             await self.store.changes_since(as_of, 0.1)
 
-    async def test_trouble_is_unavailability_not_emptiness(self) -> None:
+    async def test_store_failure_is_not_an_empty_list(self) -> None:
         """Guards against treating a failing store as an empty one."""
         for faults in (
             Faults(refuse_with=503),
@@ -84,7 +84,7 @@
             self.standin.faults = Faults()
             self.assertEqual(len((await self.store.read_all()).items), 1)
 
-    async def test_lost_response_of_a_write_may_be_repeated(self) -> None:
+    async def test_write_with_lost_response_can_be_retried(self) -> None:
         """Guards against a failed registration after a lost response."""
         self.standin.faults = Faults(lose_writes=1)
         with self.assertRaises(CatalogUnavailable):
@@ -93,10 +93,10 @@
         keys = [i.key for i in (await self.store.read_all()).items]
         self.assertIn("chiverun/machines/m1", keys)
 
-    async def test_garbage_in_place_of_rows_is_passed_over(self) -> None:
+    async def test_malformed_rows_are_skipped(self) -> None:
         """Guards against a malformed row that hides the valid ones."""
         body = {"items": [7, {}, {"key": 1}], "storeRevision": 3}
-        rows = store_module._rows(body, "items")
+        rows = store_module._valid_rows(body, "items")
         self.assertEqual(rows, [])
         with self.assertRaises(CatalogUnavailable):
-            store_module._rows({"items": "x"}, "items")
+            store_module._valid_rows({"items": "x"}, "items")
--- a/tests/integrations/test_asyncclient.py
+++ b/tests/integrations/test_asyncclient.py
@@ -27,7 +27,7 @@
 
 # The server's script, the end of the exchange, and whether the connection is
 # reusable.
-_ENDS = {
+_CASES = {
     "whole": ([_WHOLE], Answered, True),
     "bytes behind the response": ([_WHOLE + b"more"], Answered, False),
     "response of another, then mine": ([_OTHER + _WHOLE], Answered, False),
@@ -85,7 +85,7 @@
         async def handle(reader, writer) -> None:
             script = pending.pop(0)
             with contextlib.suppress(ConnectionError):
-                await self._play(script, reader, writer)
+                await self._run_script(script, reader, writer)
             writer.close()
 
         server = await asyncio.start_server(handle, "127.0.0.1", 0)
@@ -94,7 +94,7 @@
         host, port = server.sockets[0].getsockname()
         return f"{host}:{port}"
 
-    async def _play(self, script, reader, writer) -> None:
+    async def _run_script(self, script, reader, writer) -> None:
         await reader.readuntil(b"\r\n\r\n")
         for step in script:
             if step == _RESET:
@@ -131,12 +131,12 @@
 
     async def test_ends(self) -> None:
         """Guards against accepting a partial or another's response."""
-        for name, (script, kind, reusable) in _ENDS.items():
+        for name, (script, expected_type, reusable) in _CASES.items():
             with self.subTest(name):
                 connection = await self._connect(await self._serve(script))
                 timeout_s = 0.3 if _HOLD in script else _LIMIT_S
                 end = await self._exchange(connection, timeout_s)
-                self.assertIsInstance(end, kind)
+                self.assertIsInstance(end, expected_type)
                 self.assertEqual(reusable, connection.reusable)
                 if isinstance(end, Answered):
                     self.assertEqual(b"ok", end.body)
--- a/tests/integrations/test_asyncserver.py
+++ b/tests/integrations/test_asyncserver.py
@@ -49,7 +49,7 @@
         finally:
             writer.close()
 
-    async def test_unreadable_requests(self) -> None:
+    async def test_invalid_requests_are_rejected(self) -> None:
         """Guards against request smuggling and oversized requests.
 
         A rejected request must not reach the handler.
@@ -75,39 +75,41 @@
         }
         for name, (raw, status) in cases.items():
             with self.subTest(name):
-                answer = await self._send(raw)
-                self.assertEqual(f"{status}".encode(), answer[9:12], answer)
+                response = await self._send(raw)
+                self.assertEqual(
+                    f"{status}".encode(), response[9:12], response
+                )
         self.assertEqual([], self.seen)
 
     async def test_slow_head_and_idle_connections_are_closed(self) -> None:
         """Guards against connections held open by silent callers."""
         loop = asyncio.get_running_loop()
         for raw in (b"", b"GET /a HT"):
-            began_at = loop.time()
+            started_at = loop.time()
             self.assertEqual(b"", await self._send(raw))
-            self.assertGreaterEqual(loop.time() - began_at, 0.25)
-        answer = await self._send(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
-        self.assertEqual(b"/a", answer[-2:])
+            self.assertGreaterEqual(loop.time() - started_at, 0.25)
+        response = await self._send(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
+        self.assertEqual(b"/a", response[-2:])
 
     async def test_pipelined_requests_are_answered_in_order(self) -> None:
         """Guards against sending a response to another request."""
         raw = b"".join(
             b"GET /%d HTTP/1.1\r\nHost: x\r\n\r\n" % i for i in range(3)
         )
-        answer = await self._send(raw)
-        places = [answer.index(b"\r\n\r\n/%d" % i) for i in range(3)]
-        self.assertEqual(sorted(places), places)
+        response = await self._send(raw)
+        offsets = [response.index(b"\r\n\r\n/%d" % i) for i in range(3)]
+        self.assertEqual(sorted(offsets), offsets)
 
     async def test_chunked_body_is_read_whole(self) -> None:
         """Guards against handling a partial chunked body."""
-        answer = await self._send(
+        response = await self._send(
             b"POST /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n"
             b"0\r\n\r\n"
         )
-        self.assertEqual(b"/abody", answer[-6:])
+        self.assertEqual(b"/abody", response[-6:])
 
-    async def test_caller_that_leaves_cancels_its_handler(self) -> None:
+    async def test_disconnect_cancels_the_handler(self) -> None:
         """Guards against work for callers that have disconnected."""
         _, writer = await asyncio.open_connection(*self.address)
         writer.write(b"GET /waits HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -116,23 +118,23 @@
         writer.close()
         await asyncio.wait_for(self.cancelled.wait(), _LIMIT_S)
 
-    async def test_failed_handler_is_a_500(self) -> None:
+    async def test_failed_handler_returns_500(self) -> None:
         """Guards against a request without a response."""
-        answer = await self._send(
+        response = await self._send(
             b"GET /fails HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
         )
-        self.assertEqual(b"500", answer[9:12])
+        self.assertEqual(b"500", response[9:12])
 
-    async def test_closing_server_says_so(self) -> None:
+    async def test_closing_server_sends_connection_close(self) -> None:
         """Guards against callers that stay connected to a stopping server."""
         self.state.closing = True
-        answer = await self._send(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
-        self.assertIn(b"Connection: close", answer)
+        response = await self._send(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
+        self.assertIn(b"Connection: close", response)
 
     async def test_head_has_a_length_and_no_body(self) -> None:
         """Guards against a body in the response to a HEAD request."""
-        answer = await self._send(
+        response = await self._send(
             b"HEAD /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
         )
-        self.assertIn(b"Content-Length: 2", answer)
-        self.assertTrue(answer.endswith(b"\r\n\r\n"))
+        self.assertIn(b"Content-Length: 2", response)
+        self.assertTrue(response.endswith(b"\r\n\r\n"))
--- a/tests/integrations/test_backend.py
+++ b/tests/integrations/test_backend.py
@@ -239,7 +239,7 @@
             self.assertIsInstance(end, Answered)
             self.assertIn(("X-Request-Id", f"id-{number}"), end.headers)
 
-    def test_late_shed_is_no_proof_for_another_request(self):
+    def test_late_shed_does_not_apply_to_another_request(self):
         """Guards against outcome "not run" from an earlier request's shed.
 
         The late response has no id and arrives while the connection is used
@@ -268,7 +268,11 @@
         self._exchange(server.address)
         body = b"x" * 20_000_000
         end = self._exchange(
-            server.address, 2, method="POST", body=body, deadline=_in(5)
+            server.address,
+            2,
+            method="POST",
+            body=body,
+            deadline=_deadline_in(5),
         )
         self.assertIs(Outcome.UNKNOWN, classify(end).outcome)
         self.assertEqual(2, server.seen)
@@ -286,8 +290,8 @@
     def test_request_cut_while_writing_is_not_continued_elsewhere(self):
         """Guards against sending a request's rest on a new connection."""
         server = self._server([_WHOLE], [_WHOLE])
-        conn = self.backends._connection(server.address, True)
-        conn.begin(_in(1))
+        conn = self.backends._acquire(server.address, True)
+        conn.start_exchange(_deadline_in(1))
         conn.send(b"POST / HTTP/1.1\r\nContent-Length: 100\r\n\r\n")
         conn.close()
         with self.assertRaises(OSError):
@@ -299,7 +303,7 @@
         A refused connection also proves that nothing has been sent.
         """
         server = self._server([_WHOLE])
-        end = self._exchange(server.address, deadline=_in(-1))
+        end = self._exchange(server.address, deadline=_deadline_in(-1))
         self.assertIsInstance(end, NotSent)
         self.assertEqual(0, server.seen)
         server.close()
@@ -312,15 +316,17 @@
         """
         steps = [_WHOLE, _WHOLE.replace(b"%(id)s", b"id-9"), _WHOLE]
         server = self._server(*[steps for _ in range(400)])
-        wrong = []
+        mismatched = []
 
         def run(first: int) -> None:
             for number in range(first, first + 60):
-                end = self._exchange(server.address, number, deadline=_in(5))
+                end = self._exchange(
+                    server.address, number, deadline=_deadline_in(5)
+                )
                 if isinstance(end, Answered) and (
                     ("X-Request-Id", f"id-{number}") not in end.headers
                 ):
-                    wrong.append(number)
+                    mismatched.append(number)
 
         threads = [
             threading.Thread(target=run, args=(n * 100,)) for n in range(1, 7)
@@ -329,8 +335,8 @@
             thread.start()
         for thread in threads:
             thread.join()
-        self.assertEqual([], wrong)
+        self.assertEqual([], mismatched)
 
 
-def _in(seconds: float) -> float:
+def _deadline_in(seconds: float) -> float:
     return time.monotonic() + seconds
--- a/tests/integrations/test_peers.py
+++ b/tests/integrations/test_peers.py
@@ -21,19 +21,21 @@
     def setUp(self) -> None:
         self._received: list[bytes] = []
         self._arrived = threading.Condition()
-        self._to = _address()
+        self._peer_address = _address()
         self.one = ZmqPeers(bind=_address(), addresses=AddressMap(mapping={}))
-        self.two = ZmqPeers(bind=self._to, addresses=AddressMap(mapping={}))
+        self.two = ZmqPeers(
+            bind=self._peer_address, addresses=AddressMap(mapping={})
+        )
         self.one.start(lambda data: None)
         self.addCleanup(self.one.stop)
         self.addCleanup(self.two.stop)
 
-    def _take(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         with self._arrived:
             self._received.append(data)
             self._arrived.notify_all()
 
-    def _await(self, count: int) -> None:
+    def _wait_for_messages(self, count: int) -> None:
         with self._arrived:
             done = self._arrived.wait_for(
                 lambda: len(self._received) >= count, timeout=5
@@ -42,21 +44,21 @@
 
     def test_messages_before_and_after_the_peer_starts(self) -> None:
         """Guards against losing messages that are sent before the start."""
-        self.one.send(self._to, b"early")
-        self.two.start(self._take)
-        self._await(1)
-        self.one.send(self._to, b"late")
-        self._await(2)
+        self.one.send(self._peer_address, b"early")
+        self.two.start(self._receive)
+        self._wait_for_messages(1)
+        self.one.send(self._peer_address, b"late")
+        self._wait_for_messages(2)
         self.assertEqual([b"early", b"late"], self._received)
 
     def test_oversized_message_does_not_arrive(self) -> None:
         """Guards against a peer that exhausts this process's memory."""
-        self.two.start(self._take)
-        self.one.send(self._to, b"x" * (3 * 1024 * 1024))
-        self.one.send(self._to, b"small")
+        self.two.start(self._receive)
+        self.one.send(self._peer_address, b"x" * (3 * 1024 * 1024))
+        self.one.send(self._peer_address, b"small")
         deadline = time.monotonic() + 5
         while not self._received and time.monotonic() < deadline:
-            self.one.send(self._to, b"small")
+            self.one.send(self._peer_address, b"small")
             time.sleep(0.1)
         self.assertEqual({b"small"}, set(self._received))
 
@@ -66,7 +68,7 @@
         idle._stopping.set()
         part = b"x" * (1024 * 1024)
         for _ in range(2 * peers_module.OUTBOX_BYTES_MAX // len(part)):
-            idle.send(self._to, part)
+            idle.send(self._peer_address, part)
         self.assertLessEqual(idle._outbox_bytes, peers_module.OUTBOX_BYTES_MAX)
         self.assertEqual(
             idle._outbox_bytes, sum(len(p) for _, p in idle._outbox)
@@ -74,7 +76,9 @@
 
     def test_address_in_use(self) -> None:
         """Guards against two processes that claim an address's seats."""
-        self.two.start(self._take)
-        other = ZmqPeers(bind=self._to, addresses=AddressMap(mapping={}))
+        self.two.start(self._receive)
+        other = ZmqPeers(
+            bind=self._peer_address, addresses=AddressMap(mapping={})
+        )
         with self.assertRaises(ChiverunError):
-            other.start(self._take)
+            other.start(self._receive)
--- a/tests/integrations/test_web.py
+++ b/tests/integrations/test_web.py
@@ -18,7 +18,7 @@
 _GET = b"GET /s/x HTTP/1.1\r\nHost: a\r\n"
 _SMUGGLED = b"GET /smuggled HTTP/1.1\r\nHost: a\r\n\r\n"
 _CHUNKED = b"Transfer-Encoding: chunked\r\n"
-_REFUSALS = (b"400", b"413", b"414", b"501", b"505")
+_ERROR_STATUSES = (b"400", b"413", b"414", b"501", b"505")
 
 
 def free_address() -> str:
@@ -54,13 +54,13 @@
             raise cls.error
         return Response(status=200, body=b"done")
 
-    def _send(self, raw: bytes, *, is_cut: bool = False) -> bytes:
+    def _send(self, raw: bytes, *, closes_after: bool = False) -> bytes:
         """Send bytes; return all received until the server closes."""
         with socket.create_connection(self.address, 5) as conn:
             received = b""
             try:
                 conn.sendall(raw)
-                if is_cut:
+                if closes_after:
                     conn.shutdown(socket.SHUT_WR)
                 while data := conn.recv(65536):
                     received += data
@@ -98,7 +98,7 @@
         Another HTTP implementation may parse these requests differently.
         """
         received = self._send(_POST + lines + b"\r\nbody" + _SMUGGLED)
-        self._check_refused(received)
+        self._assert_rejected(received)
 
     @params(
         ("garbage", b"\0\xff\x16\x03\x01garbage\r\n\r\n"),
@@ -116,13 +116,13 @@
     )
     def test_malformed_request_is_refused(self, _case, raw):
         """Guards against running an incomplete or malformed request."""
-        self._check_refused(self._send(raw + _SMUGGLED))
+        self._assert_rejected(self._send(raw + _SMUGGLED))
 
-    def _check_refused(self, received: bytes) -> None:
+    def _assert_rejected(self, received: bytes) -> None:
         self.assertEqual([], self.seen)
         # A close with unread bytes may overtake the response.
         if received:
-            self.assertIn(received.split()[1], _REFUSALS)
+            self.assertIn(received.split()[1], _ERROR_STATUSES)
             self.assertIn(b"X-Chiverun-Outcome: not-run", received)
         whole = self._send(_GET + b"Connection: close\r\n\r\n")
         self.assertTrue(whole.endswith(b"done"), whole)
@@ -135,14 +135,14 @@
         ("in a chunk", _POST + _CHUNKED + b"\r\n9\r\nbody"),
         ("before the last chunk", _POST + _CHUNKED + b"\r\n4\r\nbody\r\n"),
     )
-    def test_cut_request_is_not_run(self, _case, raw):
+    def test_truncated_request_is_not_run(self, _case, raw):
         """Guards against running a truncated request."""
-        received = self._send(raw, is_cut=True)
+        received = self._send(raw, closes_after=True)
         self.assertEqual([], self.seen)
         if received:
             self.assertIn(b"X-Chiverun-Outcome: not-run", received)
 
-    def test_request_of_a_caller_that_has_gone_is_not_run(self):
+    def test_request_of_disconnected_caller_is_not_run(self):
         """Guards against running a queued request whose caller has left.
 
         Both threads of the server are busy until the caller has closed.
@@ -187,7 +187,7 @@
             ResultCode.LINK_CAP,
         ),
     )
-    def test_error_of_a_handler_is_unknown(self, error, code):
+    def test_handler_error_has_unknown_outcome(self, error, code):
         """Guards against outcome "not run" for an error after sending."""
         type(self).error = error
         raw = _GET + b"Connection: close\r\nX-Chiverun-Exchange: e1\r\n\r\n"
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -59,9 +59,9 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = pathlib.Path(folder.name)
-        self.write("op.ini", self.operator(f"127.0.0.1:{self.port}"))
+        self.write("op.ini", self.operator_settings(f"127.0.0.1:{self.port}"))
 
-    def operator(self, store: str) -> str:
+    def operator_settings(self, store: str) -> str:
         return (
             f"[operator]\nstore = {store}\ninstances = 127.0.0.1:9\n"
             "store_timeout_ms = 500\n"
@@ -72,7 +72,7 @@
         path.write_bytes(data.encode() if isinstance(data, str) else data)
         return str(path)
 
-    def fails(self, code: ResultCode, *args: str) -> str:
+    def assert_fails(self, code: ResultCode, *args: str) -> str:
         """Check the error line, the exit status and the unchanged store."""
         before = dict(self.platform.data)
         status, out, err = run(*args)
@@ -107,7 +107,7 @@
     )
     def test_usage(self, *args):
         """Guards against fire's usage pages, tracebacks and exit status 2."""
-        self.fails(ResultCode.USAGE, *args)
+        self.assert_fails(ResultCode.USAGE, *args)
 
     @params(
         (None, ResultCode.FILE_NOT_READABLE, "No such file"),
@@ -141,7 +141,7 @@
             "shift[0]",
         ),
     )
-    def test_ticket_file(self, data, code, words):
+    def test_ticket_file(self, data, code, expected_text):
         """Guards against accepting an invalid ticket or an unclear error."""
         path = str(self.folder / "t.toml")
         if data is not None:
@@ -150,9 +150,9 @@
         for command in ("check", "submit"):
             if command == "submit" and "7" in str(data):
                 code = ResultCode.NO_INSTANCE_REACHABLE
-                words = "asked: 127.0.0.1:9"
-            err = self.fails(code, "ticket", command, path, settings)
-            self.assertIn(words, err)
+                expected_text = "asked: 127.0.0.1:9"
+            err = self.assert_fails(code, "ticket", command, path, settings)
+            self.assertIn(expected_text, err)
 
     @params(
         (None, ResultCode.FILE_NOT_READABLE),
@@ -172,17 +172,23 @@
         if data is not None:
             self.write("bad.ini", data)
         ticket = self.write("t.toml", _TICKET.format(1))
-        self.fails(code, "settings", "check", path)
-        self.fails(code, "ticket", "submit", ticket, path)
-        self.fails(code, "ticket", "log", path)
+        self.assert_fails(code, "settings", "check", path)
+        self.assert_fails(code, "ticket", "submit", ticket, path)
+        self.assert_fails(code, "ticket", "log", path)
 
-    def test_folder_and_endless_file(self):
+    def test_folder_and_unbounded_file(self):
         """Guards against a traceback and against reading without a limit."""
         folder = str(self.folder)
-        self.fails(ResultCode.FILE_NOT_READABLE, "ticket", "check", folder)
-        self.fails(ResultCode.FILE_NOT_READABLE, "settings", "check", folder)
-        self.fails(ResultCode.FILE_NOT_READABLE, "serve", folder)
-        self.fails(ResultCode.TICKET_TOO_LARGE, "ticket", "check", "/dev/zero")
+        self.assert_fails(
+            ResultCode.FILE_NOT_READABLE, "ticket", "check", folder
+        )
+        self.assert_fails(
+            ResultCode.FILE_NOT_READABLE, "settings", "check", folder
+        )
+        self.assert_fails(ResultCode.FILE_NOT_READABLE, "serve", folder)
+        self.assert_fails(
+            ResultCode.TICKET_TOO_LARGE, "ticket", "check", "/dev/zero"
+        )
 
     def test_accepted_ticket_is_read_back(self):
         """Guards against commands that reject valid input."""
@@ -190,15 +196,15 @@
         path = self.write("t.toml", _TICKET.format(1))
         for command in ("check", "submit"):
             self.assertEqual(0, run("ticket", command, path, settings)[0])
-        again = self.fails(
+        again = self.assert_fails(
             ResultCode.TICKET_OUT_OF_ORDER, "ticket", "submit", path, settings
         )
         self.assertIn("taken: accepted is 'r' by 'a'", again)
         self.assertIn('"number": 1', run("ticket", "show", "1", settings)[1])
         self.assertIn("a: r", run("ticket", "log", settings)[1])
         missing = ("ticket", "show", "2", settings)
-        self.fails(ResultCode.TICKET_NOT_FOUND, *missing)
-        self.fails(ResultCode.NO_INSTANCE_REACHABLE, "status", settings)
+        self.assert_fails(ResultCode.TICKET_NOT_FOUND, *missing)
+        self.assert_fails(ResultCode.NO_INSTANCE_REACHABLE, "status", settings)
 
     def test_store_down_and_damaged(self):
         """Guards against errors without a code when the store fails."""
@@ -206,12 +212,16 @@
         path = self.write("t.toml", _TICKET.format(1))
         self.platform.put("chiverun/head", b"\xff", None)
         for args in (("submit", path), ("check", path), ("log",)):
-            self.fails(ResultCode.TICKET_MALFORMED, "ticket", *args, settings)
+            self.assert_fails(
+                ResultCode.TICKET_MALFORMED, "ticket", *args, settings
+            )
         self.platform.outage = True
         for args in (("submit", path), ("check", path), ("log",)):
-            self.fails(ResultCode.STORE_UNAVAILABLE, "ticket", *args, settings)
+            self.assert_fails(
+                ResultCode.STORE_UNAVAILABLE, "ticket", *args, settings
+            )
 
-    def test_answers_lost_over_http(self):
+    def test_lost_responses_over_http(self):
         """Guards against a wrong outcome when responses to writes are lost."""
         address = Address(f"127.0.0.1:{self.port}")
         store = HttpStore(address=address, timeout_s=0.5)
