--- a/chiverun/integrations/telemetry.py
+++ b/chiverun/integrations/telemetry.py
@@ -1,4 +1,4 @@
-"""Traces and metrics by OpenTelemetry, exported as JSON lines to the log."""
+"""OpenTelemetry traces and metrics, exported to the log."""
 
 import contextlib
 from collections.abc import Iterator
@@ -66,7 +66,9 @@
             for scope in resource.scope_metrics:
                 for metric in scope.metrics:
                     for point in metric.data.data_points:
-                        _LOG.info("metric", extra=_point(metric.name, point))
+                        _LOG.info(
+                            "metric", extra=_metric_record(metric.name, point)
+                        )
         return MetricExportResult.SUCCESS
 
     def shutdown(self, timeout_millis: float = 0, **kwargs) -> None:
@@ -76,7 +78,7 @@
         return True
 
 
-def _point(name: str, point) -> dict:
+def _metric_record(name: str, point) -> dict:
     record = {"metric": name, "attributes": dict(point.attributes or {})}
     if hasattr(point, "value"):
         record["value"] = point.value
@@ -132,7 +134,10 @@
     def span(
         self, name: str, parent: Mapping[str, str] | None = None, **attributes
     ) -> Iterator[trace.Span]:
-        """Run a block within a span; `parent` holds request headers."""
+        """Run a block within a span.
+
+        `parent` are the request headers with the caller's trace context.
+        """
         context = _PROPAGATOR.extract(parent) if parent is not None else None
         with self._tracer.start_as_current_span(
             name, context=context, attributes=attributes
@@ -144,6 +149,6 @@
         _PROPAGATOR.inject(headers)
 
     def stop(self) -> None:
-        """Export what is left."""
+        """Export the remaining spans and metrics and stop."""
         self._traces.shutdown()
         self._metrics.shutdown()
--- a/chiverun/platform/headercodec.py
+++ b/chiverun/platform/headercodec.py
@@ -10,11 +10,11 @@
 
 _REQUEST_ID = "x-chiverun-request-id"
 _AFFINITY_KEY = "x-chiverun-affinity-key"
-# Milliseconds that the sender waits from when it sends, no point in time.
+# Remaining time in milliseconds when the request is sent, not a timestamp.
 _DEADLINE_MS = "x-chiverun-deadline-ms"
 _EXPECTED_SERVER = "x-chiverun-expect-instance"
-# Proves that an upstream made the response.
-_STAMP = "x-chiverun-response-stamp"
+# Only an upstream sets this header, so it proves the response's origin.
+_RESPONSE_STAMP = "x-chiverun-response-stamp"
 _NOT_RUN = "x-chiverun-not-run"
 _LOAD = "x-chiverun-server-load"
 _SERVER_NAME = "x-chiverun-instance-id"
@@ -23,20 +23,23 @@
 
 
 class PlatformHeaderCodec:
-    """Reads and writes the platform's own headers."""
+    """Parses and writes the platform's own headers."""
 
     def request_metadata(self, request: IncomingRequest) -> RequestMetadata:
-        """Return what a client's headers say."""
+        """Return the metadata in the headers of a client's request."""
         return RequestMetadata(
             request_id=request.header(_REQUEST_ID) or "",
             affinity_key=request.header(_AFFINITY_KEY) or "",
-            deadline_s=_deadline_s(request.header(_DEADLINE_MS)),
+            deadline_s=_parse_deadline_s(request.header(_DEADLINE_MS)),
         )
 
     def request_headers(
         self, headers: Headers, server: Server, remaining_s: float
     ) -> Headers:
-        """Return a request's headers as the server shall get them."""
+        """Return the headers to forward to a server.
+
+        The client's deadline and expected server are replaced.
+        """
         kept = [
             (name, value)
             for name, value in headers
@@ -51,33 +54,33 @@
     def response_metadata(
         self, status: int, headers: Headers
     ) -> ResponseMetadata:
-        """Return what a server's headers say."""
-        row = {name.lower(): value for name, value in headers}
+        """Return the metadata in the headers of a server's response."""
+        values = {name.lower(): value for name, value in headers}
         return ResponseMetadata(
-            request_id=row.get(_REQUEST_ID),
-            is_stamped=_STAMP in row,
-            not_run=_NOT_RUN in row or status == 421,
+            request_id=values.get(_REQUEST_ID),
+            is_stamped=_RESPONSE_STAMP in values,
+            not_run=_NOT_RUN in values or status == 421,
             is_other_server=status == 421,
-            server=ServerName(row[_SERVER_NAME])
-            if _SERVER_NAME in row
+            server=ServerName(values[_SERVER_NAME])
+            if _SERVER_NAME in values
             else None,
-            load=_load(row.get(_LOAD)),
-            cold_s=_seconds(row.get(_COLD_MS)),
+            load=_parse_load(values.get(_LOAD)),
+            cold_s=_parse_ms(values.get(_COLD_MS)),
         )
 
 
-def _deadline_s(text: str | None) -> float | None:
+def _parse_deadline_s(text: str | None) -> float | None:
     if text is None or not text.strip().isdigit():
         return None
     return min(_DEADLINE_MS_MAX, int(text)) / 1000.0
 
 
-def _seconds(text: str | None) -> float | None:
+def _parse_ms(text: str | None) -> float | None:
     return int(text) / 1000.0 if text and text.strip().isdigit() else None
 
 
-def _load(text: str | None) -> ServerLoad | None:
-    """Read running, waiting, slots and the time of work in percent."""
+def _parse_load(text: str | None) -> ServerLoad | None:
+    """Parse ``running,waiting,slots[,slowdown in percent]``."""
     parts = (text or "").split(",")
     if len(parts) < 3 or not all(p.strip().isdigit() for p in parts[:4]):
         return None
--- a/chiverun/platform/store.py
+++ b/chiverun/platform/store.py
@@ -25,16 +25,17 @@
 _LOG = logbook.Logger("store")
 
 CONNECT_TIMEOUT_S = 0.6
-# Beyond the time that a watch waits by itself.
+# For a watch, its waiting time is added.
 CALL_TIMEOUT_S = 1.2
-# A slow store is still read: a call may take this long once one timed out.
+# Each time-out raises the next call's limit up to this value, so that a slow
+# store can still be read.
 CALL_TIMEOUT_MAX_S = 6.0
 _BODY_BYTES_MAX = 64 * 1024 * 1024
 _PAGES_MAX = 200
 
 
 class PlatformStore:
-    """Calls the store on one kept connection, one call at a time."""
+    """Client with one persistent connection and one call at a time."""
 
     def __init__(self, *, address: Address) -> None:
         self._address = address
@@ -42,10 +43,11 @@
         self._timeout_s = CALL_TIMEOUT_S
 
     async def read_all(self) -> Changes:
-        """Return every record that the product follows.
+        """Return all records.
 
-        Pages are no snapshot: the revision of the first page is returned,
-        so that a watch repeats what changed while the rest was read.
+        The pages are not a consistent snapshot. The returned revision is
+        that of the first page, so that a watch from there also returns the
+        changes made while the other pages were read.
 
         Raises
         ------
@@ -58,18 +60,22 @@
             body = await self._get(path)
             if as_of is None:
                 as_of = Revision(body["storeRevision"])
-            rows = _rows(body, "items")
-            items += [item for row in rows if (item := _item(row))]
+            rows = _valid_rows(body, "items")
+            items += [item for row in rows if (item := _decode_item(row))]
             if not body.get("hasMore") or not rows:
                 return Changes(items=items, as_of=as_of)
             after = quote(rows[-1]["key"], safe="")
             path = f"/-/kv-range?prefix=&after={after}"
-        raise CatalogUnavailable(f"more than {_PAGES_MAX} pages")
+        raise CatalogUnavailable(
+            f"kv-range returned more than {_PAGES_MAX} pages"
+        )
 
     async def changes_since(
         self, revision: Revision, wait_s: float
     ) -> Changes:
-        """Return changes after a revision, waiting for the first.
+        """Return the changes after a revision.
+
+        Wait up to `wait_s` if there are none yet.
 
         Raises
         ------
@@ -81,21 +87,23 @@
             f"&waitMs={int(wait_s * 1000)}",
             wait_s=wait_s,
         )
-        rows = _rows(body, "events")
+        rows = _valid_rows(body, "events")
         return Changes(
-            items=[item for row in rows if (item := _item(row))],
+            items=[item for row in rows if (item := _decode_item(row))],
             as_of=Revision(body["storeRevision"]),
         )
 
     async def register(
         self, machine: Machine, known_revision: Revision
     ) -> bool:
-        """Write a machine's record if it is still at a revision.
+        """Write a machine's record if its revision is `known_revision`.
+
+        Return whether it was written.
 
         Raises
         ------
         CatalogUnavailable
-            Also if the write may have been executed; it is safe to repeat.
+            Also if the write may have been executed. Retrying is safe.
         """
         key, value = records.encode_machine(machine)
         row = {"key": key, "value": base64.b64encode(value).decode()}
@@ -104,10 +112,12 @@
             "writes": [row],
             "remove": [],
         }
-        answer = await self._call("POST", "/-/kv-txn", json.dumps(body))
-        if answer.status not in (200, 412):
-            raise CatalogUnavailable(f"kv-txn: status {answer.status}")
-        return answer.status == 200
+        response = await self._call("POST", "/-/kv-txn", json.dumps(body))
+        if response.status not in (200, 412):
+            raise CatalogUnavailable(
+                f"kv-txn: status {response.status}; expected 200 or 412"
+            )
+        return response.status == 200
 
     def close(self) -> None:
         """Close the connection."""
@@ -115,22 +125,24 @@
             self._connection.abort()
 
     async def _get(self, path: str, *, wait_s: float = 0.0) -> dict[str, Any]:
-        answer = await self._call("GET", path, "", wait_s=wait_s)
-        if answer.status == 410:
+        response = await self._call("GET", path, "", wait_s=wait_s)
+        if response.status == 410:
             raise HistoryCompacted
-        if answer.status != 200:
-            raise CatalogUnavailable(f"{path}: status {answer.status}")
+        if response.status != 200:
+            raise CatalogUnavailable(
+                f"{path}: status {response.status}; expected 200"
+            )
         try:
-            body = json.loads(answer.body)
-            values.whole(body, "storeRevision")
-        except (ValueError, values.Malformed) as exc:
+            body = json.loads(response.body)
+            values.integer(body, "storeRevision")
+        except (ValueError, values.InvalidValueError) as exc:
             raise CatalogUnavailable(f"{path}: {exc}") from exc
         return body
 
     async def _call(
         self, method: str, path: str, body: str, *, wait_s: float = 0.0
     ) -> Answered:
-        connection = await self._connected()
+        connection = await self._get_connection()
         headers = [(b"Host", self._address.encode())]
         if body:
             headers += [
@@ -148,14 +160,14 @@
             self._timeout_s + wait_s,
         )
         if not isinstance(end, Answered):
-            # The next call may take longer: the store may only be slow.
+            # The store may be slow, not down; allow the next call more time.
             self._timeout_s = min(CALL_TIMEOUT_MAX_S, self._timeout_s * 1.5)
             connection.abort()
             raise CatalogUnavailable(f"{path}: {end}")
         self._timeout_s = max(CALL_TIMEOUT_S, self._timeout_s * 0.9)
         return end
 
-    async def _connected(self) -> ClientConnection:
+    async def _get_connection(self) -> ClientConnection:
         if self._connection is None or not self._connection.reusable:
             try:
                 self._connection = await connect(
@@ -168,25 +180,27 @@
         return self._connection
 
 
-def _rows(body: dict[str, Any], name: str) -> list[dict[str, Any]]:
-    """Return the readable rows of a response; others are logged."""
+def _valid_rows(body: dict[str, Any], name: str) -> list[dict[str, Any]]:
+    """Return the valid rows of a response; log and skip the others."""
     rows = body.get(name)
     if not isinstance(rows, list):
-        raise CatalogUnavailable(f"{name}: {rows!r} is no list")
+        raise CatalogUnavailable(f"{name}: {rows!r} is not a list")
     readable = []
     for row in rows:
         try:
             values.field(row, "key", str)
-            values.whole(row, "revision")
-        except values.Malformed as exc:
-            _LOG.warning("row unreadable", extra={"reason": str(exc)})
+            values.integer(row, "revision")
+        except values.InvalidValueError as exc:
+            _LOG.warning(
+                "skipping malformed store row", extra={"reason": str(exc)}
+            )
         else:
             readable.append(row)
     return readable
 
 
-def _item(row: dict[str, Any]) -> VersionedRecord | None:
-    """Decode an item or event; None for keys that are not followed."""
+def _decode_item(row: dict[str, Any]) -> VersionedRecord | None:
+    """Decode an item or event; return None for keys that are not used."""
     key = row["key"]
     if not key.startswith(records.PREFIXES):
         return None
@@ -195,13 +209,14 @@
         return VersionedRecord(key=key, revision=revision)
     try:
         data = base64.b64decode(values.field(row, "value", str), validate=True)
-    except (ValueError, values.Malformed) as exc:
+    except (ValueError, values.InvalidValueError) as exc:
         record = Unreadable(reason=str(exc))
     else:
         record = records.decode_record(key, data)
     if isinstance(record, Unreadable):
         _LOG.warning(
-            "record unreadable", extra={"key": key, "reason": record.reason}
+            "cannot decode store record",
+            extra={"key": key, "reason": record.reason},
         )
     if record is None:
         return None
--- a/tests/integrations/test_backend.py
+++ b/tests/integrations/test_backend.py
@@ -1,4 +1,4 @@
-"""Tests of exchanges against servers that break the protocol."""
+"""Tests of exchanges with servers that violate HTTP or fail."""
 
 import socket
 import threading
@@ -26,7 +26,7 @@
 
 _OK = b"HTTP/1.1 200 OK\r\n"
 _ID = b"X-Request-Id: %(id)s\r\n"
-_WHOLE = _OK + _ID + b"Content-Length: 2\r\n\r\nok"
+_COMPLETE = _OK + _ID + b"Content-Length: 2\r\n\r\nok"
 _RESET = "reset"
 _HOLD = "hold"
 _DRIP = "drip"
@@ -34,10 +34,10 @@
 
 
 class ScriptedServer:
-    """Answers each connection's requests with the given steps in turn.
+    """Server that answers the requests of each connection by a script.
 
-    A step is bytes to send, or what to do with the connection. ``%(id)s`` in
-    the bytes stands for the request's id. `seen` counts requests read.
+    A step of a script is bytes to send or the name of a fault. ``%(id)s`` in
+    the bytes stands for the request's id.
     """
 
     def __init__(self, *connections) -> None:
@@ -45,14 +45,14 @@
         self._listener = socket.create_server(("127.0.0.1", 0))
         host, port = self._listener.getsockname()
         self.address = f"{host}:{port}"
-        self.seen = 0
-        self.done = threading.Event()
-        self.ended = threading.Event()
+        self.requests_read = 0
+        self.stopping = threading.Event()
+        self.connection_ended = threading.Event()
         threading.Thread(target=self._accept, daemon=True).start()
 
     def close(self) -> None:
-        """End all connections."""
-        self.done.set()
+        """Close all connections."""
+        self.stopping.set()
         self._listener.close()
 
     def _accept(self) -> None:
@@ -67,7 +67,7 @@
 
     def _serve(self, conn: socket.socket, script) -> None:
         self._run(conn, script)
-        self.ended.set()
+        self.connection_ended.set()
 
     def _run(self, conn: socket.socket, script) -> None:
         with conn, conn.makefile("rb") as stream:
@@ -75,14 +75,14 @@
                 request_id = _read_request(stream)
                 if request_id is None:
                     return
-                self.seen += 1
+                self.requests_read += 1
                 if step == _RESET:
                     conn.setsockopt(
                         socket.SOL_SOCKET, socket.SO_LINGER, b"\1" + b"\0" * 7
                     )
                     return
                 if step == _HOLD:
-                    self.done.wait(30)
+                    self.stopping.wait(30)
                     return
                 if step in (_DRIP, _DRIP_HEADERS):
                     self._drip(conn, is_body=step == _DRIP)
@@ -90,7 +90,7 @@
                 conn.sendall(step.replace(b"%(id)s", request_id))
 
     def _drip(self, conn: socket.socket, *, is_body: bool) -> None:
-        """Send a byte at a time, for longer than any deadline here."""
+        """Send one byte at a time for longer than the tests' deadlines."""
         conn.sendall(_OK + b"Content-Length: 1000\r\n")
         conn.sendall(b"\r\n" if is_body else b"X-A: ")
         for _ in range(100):
@@ -98,7 +98,7 @@
                 conn.sendall(b"x")
             except OSError:
                 return
-            if self.done.wait(0.05):
+            if self.stopping.wait(0.05):
                 return
 
 
@@ -148,7 +148,7 @@
         )
 
     def test_server_without_ids(self):
-        """Guards against every second answer of such a server being lost."""
+        """Guards against losing every second response of such a server."""
         answer = _OK + b"Content-Length: 2\r\n\r\nok"
         server = self._server(*[(answer, answer)] * 3)
         for number in range(3):
@@ -156,7 +156,7 @@
             self.assertIsInstance(end, Answered)
 
     @params(
-        ("whole", _WHOLE, Answered),
+        ("whole", _COMPLETE, Answered),
         ("reset after running", _RESET, Reset),
         ("closed without response", b"", Reset),
         ("garbage", b"\x00\xff garbage\r\n\r\n", Reset),
@@ -164,7 +164,7 @@
         ("dripping", _DRIP, TimedOut),
         ("dripping headers", _DRIP_HEADERS, TimedOut),
         ("short", _OK + _ID + b"Content-Length: 5\r\n\r\nok", Incomplete),
-        ("excess", _WHOLE + b"more", Incomplete),
+        ("excess", _COMPLETE + b"more", Incomplete),
         (
             "two lengths",
             _OK + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\nok",
@@ -185,7 +185,7 @@
         ),
         (
             "interim status",
-            b"HTTP/1.1 103 Early Hints\r\n\r\n" + _WHOLE,
+            b"HTTP/1.1 103 Early Hints\r\n\r\n" + _COMPLETE,
             Incomplete,
         ),
         (
@@ -212,66 +212,73 @@
         ),
     )
     def test_end(self, _case, step, kind):
-        """Guards against a partial or foreign response taken as whole."""
+        """Guards against accepting a partial or another's response."""
         for fresh in (False, True):
             server = self._server([step])
             started = time.monotonic()
             end = self._exchange(server.address, fresh_connection=fresh)
             self.assertIsInstance(end, kind)
             self.assertLess(time.monotonic() - started, 2.0)
-            self.assertEqual(1, server.seen)
+            self.assertEqual(1, server.requests_read)
             if kind not in (Answered, Shed):
                 self.assertIs(Outcome.UNKNOWN, classify(end).outcome)
 
     @params(
-        ("id of another", _WHOLE.replace(b"%(id)s", b"id-9")),
-        ("excess", _WHOLE + _WHOLE),
-        ("interim status", b"HTTP/1.1 103 Hints\r\n\r\n" + _WHOLE),
+        ("id of another", _COMPLETE.replace(b"%(id)s", b"id-9")),
+        ("excess", _COMPLETE + _COMPLETE),
+        ("interim status", b"HTTP/1.1 103 Hints\r\n\r\n" + _COMPLETE),
         ("late", _HOLD),
         ("short", _OK + _ID + b"Content-Length: 5\r\n\r\nok"),
     )
     def test_connection_is_not_used_again(self, _case, step):
-        """Guards against a response that stays behind on a connection."""
-        server = self._server([step, step], [_WHOLE, _WHOLE])
+        """Guards against reading a stale response on a reused connection."""
+        server = self._server([step, step], [_COMPLETE, _COMPLETE])
         self._exchange(server.address)
         for number in (2, 3):
             end = self._exchange(server.address, number)
             self.assertIsInstance(end, Answered)
             self.assertIn(("X-Request-Id", f"id-{number}"), end.headers)
 
-    def test_late_shed_is_no_proof_for_another_request(self):
-        """Guards against "not run" by a shed meant for an earlier request.
+    def test_late_shed_does_not_apply_to_another_request(self):
+        """Guards against outcome "not run" from an earlier request's shed.
 
-        The stray response has no id and arrives while the connection is in
-        use again.
+        The late response has no id and arrives while the connection is used
+        by the next request.
         """
-        stray = b"HTTP/1.1 503 No\r\nX-Shed: overload\r\n"
-        stray += b"Content-Length: 0\r\n\r\n"
-        server = self._server([_WHOLE, stray])
+        late_response = b"HTTP/1.1 503 No\r\nX-Shed: overload\r\n"
+        late_response += b"Content-Length: 0\r\n\r\n"
+        server = self._server([_COMPLETE, late_response])
         self.assertIsInstance(self._exchange(server.address), Answered)
         end = self._exchange(server.address, 2)
         self.assertIs(Outcome.UNKNOWN, classify(end).outcome)
 
     def test_kept_connection_closed_while_idle_is_replaced(self):
-        """Guards against an avoidable unknown outcome."""
-        server = self._server([_WHOLE], [_WHOLE])
+        """Guards against an avoidable unknown outcome.
+
+        The server closes the kept connection between two requests.
+        """
+        server = self._server([_COMPLETE], [_COMPLETE])
         self._exchange(server.address)
-        self.assertTrue(server.ended.wait(10))
+        self.assertTrue(server.connection_ended.wait(10))
         self.assertIsInstance(self._exchange(server.address, 2), Answered)
 
     def test_kept_connection_closed_while_writing(self):
-        """Guards against sending a request twice or calling it not run."""
-        server = self._server([_WHOLE, _RESET], [_WHOLE])
+        """Guards against sending a request twice or reporting it not run."""
+        server = self._server([_COMPLETE, _RESET], [_COMPLETE])
         self._exchange(server.address)
         body = b"x" * 20_000_000
         end = self._exchange(
-            server.address, 2, method="POST", body=body, deadline=_in(5)
+            server.address,
+            2,
+            method="POST",
+            body=body,
+            deadline=_deadline_in(5),
         )
         self.assertIs(Outcome.UNKNOWN, classify(end).outcome)
-        self.assertEqual(2, server.seen)
+        self.assertEqual(2, server.requests_read)
 
     def test_server_that_does_not_read(self):
-        """Guards against a request that is written without end."""
+        """Guards against writing past the deadline."""
         server = self._server()
         started = time.monotonic()
         end = self._exchange(
@@ -281,37 +288,45 @@
         self.assertLess(time.monotonic() - started, 2.0)
 
     def test_request_cut_while_writing_is_not_continued_elsewhere(self):
-        """Guards against the rest of a request on a new connection."""
-        server = self._server([_WHOLE], [_WHOLE])
-        conn = self.backends._connection(server.address, True)
-        conn.begin(_in(1))
+        """Guards against sending a request's rest on a new connection."""
+        server = self._server([_COMPLETE], [_COMPLETE])
+        conn = self.backends._acquire(server.address, True)
+        conn.start_exchange(_deadline_in(1))
         conn.send(b"POST / HTTP/1.1\r\nContent-Length: 100\r\n\r\n")
         conn.close()
         with self.assertRaises(OSError):
             conn.send(b"x" * 100)
 
     def test_refused_and_past_deadline_are_not_sent(self):
-        """Guards against sending after the deadline."""
-        server = self._server([_WHOLE])
-        end = self._exchange(server.address, deadline=_in(-1))
+        """Guards against sending after the deadline.
+
+        A refused connection also proves that nothing has been sent.
+        """
+        server = self._server([_COMPLETE])
+        end = self._exchange(server.address, deadline=_deadline_in(-1))
         self.assertIsInstance(end, NotSent)
-        self.assertEqual(0, server.seen)
+        self.assertEqual(0, server.requests_read)
         server.close()
         self.assertIsInstance(self._exchange("127.0.0.1:9"), NotSent)
 
     def test_parallel_exchanges_get_their_own_responses(self):
-        """Guards against crossed responses, with failures in between."""
-        steps = [_WHOLE, _WHOLE.replace(b"%(id)s", b"id-9"), _WHOLE]
+        """Guards against mixing up the responses of parallel requests.
+
+        The second response on each connection has a wrong id.
+        """
+        steps = [_COMPLETE, _COMPLETE.replace(b"%(id)s", b"id-9"), _COMPLETE]
         server = self._server(*[steps for _ in range(400)])
-        wrong = []
+        mismatched = []
 
         def run(first: int) -> None:
             for number in range(first, first + 60):
-                end = self._exchange(server.address, number, deadline=_in(5))
+                end = self._exchange(
+                    server.address, number, deadline=_deadline_in(5)
+                )
                 if isinstance(end, Answered) and (
                     ("X-Request-Id", f"id-{number}") not in end.headers
                 ):
-                    wrong.append(number)
+                    mismatched.append(number)
 
         threads = [
             threading.Thread(target=run, args=(n * 100,)) for n in range(1, 7)
@@ -320,8 +335,8 @@
             thread.start()
         for thread in threads:
             thread.join()
-        self.assertEqual([], wrong)
+        self.assertEqual([], mismatched)
 
 
-def _in(seconds: float) -> float:
+def _deadline_in(seconds: float) -> float:
     return time.monotonic() + seconds
--- a/tests/integrations/test_peers.py
+++ b/tests/integrations/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of the pyzmq transport."""
+"""Tests of the pyzmq transport between instances."""
 
 import socket
 import threading
@@ -20,59 +20,69 @@
 class PeersTest(unittest.TestCase):
     def setUp(self) -> None:
         self._received: list[bytes] = []
-        self._arrived = threading.Condition()
-        self._to = _address()
-        self.one = ZmqPeers(bind=_address(), addresses=AddressMap(mapping={}))
-        self.two = ZmqPeers(bind=self._to, addresses=AddressMap(mapping={}))
-        self.one.start(lambda data: None)
-        self.addCleanup(self.one.stop)
-        self.addCleanup(self.two.stop)
+        self._received_changed = threading.Condition()
+        self._peer_address = _address()
+        self.sender = ZmqPeers(
+            bind=_address(), addresses=AddressMap(mapping={})
+        )
+        self.receiver = ZmqPeers(
+            bind=self._peer_address, addresses=AddressMap(mapping={})
+        )
+        self.sender.start(lambda data: None)
+        self.addCleanup(self.sender.stop)
+        self.addCleanup(self.receiver.stop)
 
-    def _take(self, data: bytes) -> None:
-        with self._arrived:
+    def _receive(self, data: bytes) -> None:
+        with self._received_changed:
             self._received.append(data)
-            self._arrived.notify_all()
+            self._received_changed.notify_all()
 
-    def _await(self, count: int) -> None:
-        with self._arrived:
-            done = self._arrived.wait_for(
+    def _wait_for_messages(self, count: int) -> None:
+        with self._received_changed:
+            done = self._received_changed.wait_for(
                 lambda: len(self._received) >= count, timeout=5
             )
         self.assertTrue(done, f"{len(self._received)} of {count} arrived")
 
     def test_messages_before_and_after_the_peer_starts(self) -> None:
-        self.one.send(self._to, b"early")
-        self.two.start(self._take)
-        self._await(1)
-        self.one.send(self._to, b"late")
-        self._await(2)
+        """Guards against losing messages that are sent before the start."""
+        self.sender.send(self._peer_address, b"early")
+        self.receiver.start(self._receive)
+        self._wait_for_messages(1)
+        self.sender.send(self._peer_address, b"late")
+        self._wait_for_messages(2)
         self.assertEqual([b"early", b"late"], self._received)
 
     def test_oversized_message_does_not_arrive(self) -> None:
-        """A peer must not be able to fill this process's memory."""
-        self.two.start(self._take)
-        self.one.send(self._to, b"x" * (3 * 1024 * 1024))
-        self.one.send(self._to, b"small")
+        """Guards against a peer that exhausts this process's memory."""
+        self.receiver.start(self._receive)
+        self.sender.send(self._peer_address, b"x" * (3 * 1024 * 1024))
+        self.sender.send(self._peer_address, b"small")
         deadline = time.monotonic() + 5
         while not self._received and time.monotonic() < deadline:
-            self.one.send(self._to, b"small")
+            self.sender.send(self._peer_address, b"small")
             time.sleep(0.1)
         self.assertEqual({b"small"}, set(self._received))
 
     def test_queue_to_send_is_bounded(self) -> None:
-        idle = ZmqPeers(bind=_address(), addresses=AddressMap(mapping={}))
-        idle._stopping.set()
-        part = b"x" * (1024 * 1024)
-        for _ in range(2 * peers_module.OUTBOX_BYTES_MAX // len(part)):
-            idle.send(self._to, part)
-        self.assertLessEqual(idle._outbox_bytes, peers_module.OUTBOX_BYTES_MAX)
+        """Guards against a send queue that grows without limit."""
+        unstarted = ZmqPeers(bind=_address(), addresses=AddressMap(mapping={}))
+        unstarted._stopping.set()
+        payload = b"x" * (1024 * 1024)
+        for _ in range(2 * peers_module.OUTBOX_BYTES_MAX // len(payload)):
+            unstarted.send(self._peer_address, payload)
+        self.assertLessEqual(
+            unstarted._outbox_bytes, peers_module.OUTBOX_BYTES_MAX
+        )
         self.assertEqual(
-            idle._outbox_bytes, sum(len(p) for _, p in idle._outbox)
+            unstarted._outbox_bytes, sum(len(p) for _, p in unstarted._outbox)
         )
 
     def test_address_in_use(self) -> None:
-        """Two processes at one address would both claim its seats."""
-        self.two.start(self._take)
-        other = ZmqPeers(bind=self._to, addresses=AddressMap(mapping={}))
+        """Guards against two processes that claim an address's seats."""
+        self.receiver.start(self._receive)
+        other = ZmqPeers(
+            bind=self._peer_address, addresses=AddressMap(mapping={})
+        )
         with self.assertRaises(ChiverunError):
-            other.start(self._take)
+            other.start(self._receive)
--- a/tests/integrations/test_web.py
+++ b/tests/integrations/test_web.py
@@ -1,4 +1,4 @@
-"""Tests of inbound HTTP against broken and ambiguous requests."""
+"""Tests of the HTTP server with malformed and ambiguous requests."""
 
 import socket
 import threading
@@ -18,17 +18,17 @@
 _GET = b"GET /s/x HTTP/1.1\r\nHost: a\r\n"
 _SMUGGLED = b"GET /smuggled HTTP/1.1\r\nHost: a\r\n\r\n"
 _CHUNKED = b"Transfer-Encoding: chunked\r\n"
-_REFUSALS = (b"400", b"413", b"414", b"501", b"505")
+_ERROR_STATUSES = (b"400", b"413", b"414", b"501", b"505")
 
 
 def free_address() -> str:
-    """Return a loopback address with a port that was free just now."""
+    """Return a loopback address with a currently unused port."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
 class WebTest(unittest.TestCase):
-    seen = []
+    handled_requests = []
     error = None
     gate = threading.Event()
 
@@ -43,24 +43,24 @@
 
     def setUp(self):
         type(self).error = None
-        self.seen.clear()
+        self.handled_requests.clear()
 
     @classmethod
     def _handle(cls, req):
-        cls.seen.append((req.method, req.path, req.body))
+        cls.handled_requests.append((req.method, req.path, req.body))
         if req.path == "/wait":
             cls.gate.wait(20)
         if cls.error is not None:
             raise cls.error
         return Response(status=200, body=b"done")
 
-    def _send(self, raw: bytes, *, is_cut: bool = False) -> bytes:
-        """Send bytes; return all that comes until the server closes."""
+    def _send(self, raw: bytes, *, closes_after: bool = False) -> bytes:
+        """Send bytes; return all received until the server closes."""
         with socket.create_connection(self.address, 5) as conn:
             received = b""
             try:
                 conn.sendall(raw)
-                if is_cut:
+                if closes_after:
                     conn.shutdown(socket.SHUT_WR)
                 while data := conn.recv(65536):
                     received += data
@@ -93,9 +93,12 @@
         ("large body", b"Content-Length: 99999999\r\n"),
     )
     def test_ambiguous_request_is_refused(self, _case, lines):
-        """Guards against a request that two parties read differently."""
+        """Guards against request smuggling.
+
+        Another HTTP implementation may parse these requests differently.
+        """
         received = self._send(_POST + lines + b"\r\nbody" + _SMUGGLED)
-        self._check_refused(received)
+        self._assert_rejected(received)
 
     @params(
         ("garbage", b"\0\xff\x16\x03\x01garbage\r\n\r\n"),
@@ -112,14 +115,15 @@
         ("chunk size", _POST + _CHUNKED + b"\r\nzz\r\n" + _SMUGGLED),
     )
     def test_malformed_request_is_refused(self, _case, raw):
-        """Guards against running what is not a whole request."""
-        self._check_refused(self._send(raw + _SMUGGLED))
+        """Guards against running an incomplete or malformed request."""
+        self._assert_rejected(self._send(raw + _SMUGGLED))
 
-    def _check_refused(self, received: bytes) -> None:
-        self.assertEqual([], self.seen)
-        # A close with unread bytes may overtake the response.
+    def _assert_rejected(self, received: bytes) -> None:
+        self.assertEqual([], self.handled_requests)
+        # Closing with unread bytes resets the connection, so the response
+        # may be lost.
         if received:
-            self.assertIn(received.split()[1], _REFUSALS)
+            self.assertIn(received.split()[1], _ERROR_STATUSES)
             self.assertIn(b"X-Chiverun-Outcome: not-run", received)
         whole = self._send(_GET + b"Connection: close\r\n\r\n")
         self.assertTrue(whole.endswith(b"done"), whole)
@@ -132,15 +136,15 @@
         ("in a chunk", _POST + _CHUNKED + b"\r\n9\r\nbody"),
         ("before the last chunk", _POST + _CHUNKED + b"\r\n4\r\nbody\r\n"),
     )
-    def test_cut_request_is_not_run(self, _case, raw):
-        """Guards against running a part of a request."""
-        received = self._send(raw, is_cut=True)
-        self.assertEqual([], self.seen)
+    def test_truncated_request_is_not_run(self, _case, raw):
+        """Guards against running a truncated request."""
+        received = self._send(raw, closes_after=True)
+        self.assertEqual([], self.handled_requests)
         if received:
             self.assertIn(b"X-Chiverun-Outcome: not-run", received)
 
-    def test_request_of_a_caller_that_has_gone_is_not_run(self):
-        """Guards against running what waited until its caller gave up.
+    def test_request_of_disconnected_caller_is_not_run(self):
+        """Guards against running a queued request whose caller has left.
 
         Both threads of the server are busy until the caller has closed.
         """
@@ -150,7 +154,7 @@
         for conn in busy:
             self.addCleanup(conn.close)
             conn.sendall(b"GET /wait HTTP/1.1\r\nHost: a\r\n\r\n")
-        wait_until(lambda: len(self.seen) == 2, 20, "busy threads")
+        wait_until(lambda: len(self.handled_requests) == 2, 20, "busy threads")
         with socket.create_connection(self.address, 5) as conn:
             conn.sendall(_POST + b"Content-Length: 4\r\n\r\nbody")
             conn.shutdown(socket.SHUT_WR)
@@ -158,7 +162,7 @@
             received = b""
             while data := conn.recv(65536):
                 received += data
-        self.assertEqual([("GET", "/wait", b"")] * 2, self.seen)
+        self.assertEqual([("GET", "/wait", b"")] * 2, self.handled_requests)
         self.assertIn(b"X-Chiverun-Outcome: not-run", received)
 
     @params(
@@ -174,7 +178,7 @@
     def test_leftover_is_not_run(self, _case, raw):
         """Guards against running bytes that follow a request."""
         received = self._send(raw)
-        self.assertEqual([("POST", "/s/x", b"body")], self.seen)
+        self.assertEqual([("POST", "/s/x", b"body")], self.handled_requests)
         self.assertEqual(1, received.count(b"HTTP/1.1 "))
 
     @params(
@@ -184,8 +188,8 @@
             ResultCode.LINK_CAP,
         ),
     )
-    def test_error_of_a_handler_is_unknown(self, error, code):
-        """Guards against "not run" after an error past the sending."""
+    def test_handler_error_has_unknown_outcome(self, error, code):
+        """Guards against outcome "not run" for an error after sending."""
         type(self).error = error
         raw = _GET + b"Connection: close\r\nX-Chiverun-Exchange: e1\r\n\r\n"
         received = self._send(raw)
@@ -195,7 +199,7 @@
         self.assertIn(b"X-Chiverun-Exchange: e1\r\n", received)
 
     def test_kept_connection_serves_one_request_after_another(self):
-        """Guards against refusing what is in order."""
+        """Guards against rejecting valid requests on a kept connection."""
         with socket.create_connection(self.address, 5) as conn:
             for number in range(3):
                 body = b"x" * number
@@ -205,5 +209,6 @@
                 while not received.endswith(b"done"):
                     received += conn.recv(65536)
         self.assertEqual(
-            [("POST", "/s/x", b"x" * n) for n in range(3)], self.seen
+            [("POST", "/s/x", b"x" * n) for n in range(3)],
+            self.handled_requests,
         )
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,7 +1,7 @@
-"""Runs nose2 and prints the closing line ``N passed, N failed``.
+"""Runs nose2 and prints a last line ``N passed, N failed``.
 
-Tests listed in KNOWN-RED.txt are run and printed, and do not change the exit
-code. A listed test that passes is printed as well, so that the entry can be
+Failures of tests that KNOWN-RED.txt lists are printed and do not change the
+exit code. A listed test that passes is printed too, so that its entry can be
 removed.
 """
 
@@ -14,7 +14,7 @@
 
 
 class _Outcomes:
-    """Collects test ids by outcome through nose2's testOutcome hook."""
+    """Collects test ids by outcome with nose2's testOutcome hook."""
 
     def __init__(self) -> None:
         self.passed: list[str] = []
@@ -24,7 +24,7 @@
     def testOutcome(self, event) -> None:
         name = event.test.id().partition("\n")[0]
         if event.outcome == "subtest" and event.exc_info is None:
-            # Its test is counted as a whole.
+            # Subtests are not counted separately.
             return
         if event.outcome == "skipped":
             self.skipped.append(name)
@@ -54,18 +54,18 @@
         exit=False,
         extraHooks=[("testOutcome", outcomes)],
     )
-    known = _known_red()
-    red = [name for name in outcomes.failed if name in known]
-    for name in red:
+    known_red = _known_red()
+    known_failures = [name for name in outcomes.failed if name in known_red]
+    for name in known_failures:
         print(f"known red: {name}")
-    for name in sorted(known.intersection(outcomes.passed)):
+    for name in sorted(known_red.intersection(outcomes.passed)):
         print(f"listed in KNOWN-RED.txt but passed: {name}")
     print(f"{len(outcomes.passed)} passed, {len(outcomes.failed)} failed")
     if not outcomes.passed:
         return 1
-    if len(outcomes.failed) > len(red):
+    if len(outcomes.failed) > len(known_failures):
         return 1
-    return 0 if program.result.wasSuccessful() or red else 1
+    return 0 if program.result.wasSuccessful() or known_failures else 1
 
 
 if __name__ == "__main__":
