--- a/chiverun/core/health.py
+++ b/chiverun/core/health.py
@@ -118,7 +118,8 @@
         row.failures = 0
         row.ejections = 0
         return
-    # A single timeout may be a slow request, so it does not eject the server.
+    # A single timeout may be a slow request; several failures in a row are
+    # not.
     row.failures += 1
     if row.failures >= EJECT_AFTER_FAILURES or (
         not isinstance(end, TimedOut) and row.samples == 1
