--- a/chiverun/runtime/context.py
+++ b/chiverun/runtime/context.py
@@ -75,8 +75,8 @@
         self.send = send
         self.submit = submit
         self.state = empty_state()
-        self.recent = dissemination.RecentTickets()
-        self.pulls = dissemination.PullSchedule()
+        self.recent_tickets = dissemination.RecentTickets()
+        self.pull_schedule = dissemination.PullSchedule()
         self.members = MemberTable()
         self.seats = SeatTable()
         self.drains = DrainTable()
@@ -85,11 +85,11 @@
         self.is_transferring_seats = False
         self.fork: str | None = None
         self.in_force_at = clock.monotonic()
-        self.sequence = 0
+        self.advert_sequence = 0
         self.started_at = clock.monotonic()
         self.ticked_at: float | None = None
         self.seeds_pinged_at = float("-inf")
-        self.chunks: dict[int, StateChunk] = {}
+        self.received_chunks: dict[int, StateChunk] = {}
         self.zone_views: dict[ZoneName, ZoneView] = {}
         self.views_at = float("-inf")
         self.views_key: tuple | None = None
--- a/chiverun/runtime/control.py
+++ b/chiverun/runtime/control.py
@@ -135,7 +135,7 @@
 
     @property
     def has_transferred_seats(self) -> bool:
-        """Whether all seats have been handed over after `TransferSeats`."""
+        """Whether all seats have been transferred after `TransferSeats`."""
         seats = self.seats
         return self.is_transferring_seats and not (
             seats.held
--- a/chiverun/runtime/gossip.py
+++ b/chiverun/runtime/gossip.py
@@ -24,13 +24,13 @@
 
 def make_advert(ctx: "ControlContext") -> Advert:
     """Return an advert with the current state of this instance."""
-    ctx.sequence += 1
+    ctx.advert_sequence += 1
     me = ctx.identity
     return Advert(
         instance=me.instance,
         boot_id=me.boot_id,
         incarnation=ctx.incarnation,
-        sequence=ctx.sequence,
+        sequence=ctx.advert_sequence,
         zone=me.zone,
         lookup=me.lookup,
         entry=me.entry,
@@ -65,7 +65,7 @@
     about: InstanceId | None,
     sequence: int | None = None,
 ) -> None:
-    """Send a ping; with sequence 0, it is not a probe."""
+    """Send a ping; one with sequence 0 is not a probe."""
     if sequence is None:
         sequence = ctx.members.sequence
     ctx.send(address, Ping(sequence=sequence, gossip=_make_gossip(ctx, about)))
--- a/chiverun/runtime/instance.py
+++ b/chiverun/runtime/instance.py
@@ -289,7 +289,7 @@
         _LOG.info("started", extra={"life": self._identity.boot_id})
 
     def _stop_gracefully(self) -> None:
-        """Withdraw from look-ups, finish requests and hand over the seats."""
+        """Withdraw from look-ups, finish requests and transfer the seats."""
         _LOG.info("leaving")
         for server in self._servers:
             server.close_connections()
@@ -308,7 +308,7 @@
         ):
             seats = self._plane.seats
             _LOG.warning(
-                "seats not handed over before shutdown",
+                "seats not transferred before shutdown",
                 extra={
                     "in_use": sorted(seats.releasing),
                     "not_taken": sorted(seats.transfers),
--- a/chiverun/runtime/seatsystem.py
+++ b/chiverun/runtime/seatsystem.py
@@ -53,7 +53,7 @@
     """Suspend the seats if the process has paused since the last tick.
 
     Called before each message or event is handled, so that none of those
-    between the pause and the next tick can publish or hand over seats.
+    between the pause and the next tick can publish or transfer seats.
     """
     last = ctx.ticked_at
     if last is None or now - last <= PAUSE_LIMIT_S:
--- a/chiverun/runtime/storeworker.py
+++ b/chiverun/runtime/storeworker.py
@@ -341,7 +341,7 @@
         if not self._plane.is_watcher():
             return
         if self._log.restore_head(
-            self._plane.state, self._plane.recent.entries()
+            self._plane.state, self._plane.recent_tickets.entries()
         ):
             _LOG.warning(
                 "wrote missing tickets to store",
--- a/chiverun/runtime/ticketspread.py
+++ b/chiverun/runtime/ticketspread.py
@@ -39,7 +39,9 @@
     """Request tickets from a peer that has newer ones."""
     own = ctx.state.number
     now = ctx.clock.monotonic()
-    if ctx.pulls.allows(sender=sender, offered=number, own=own, now=now):
+    if ctx.pull_schedule.allows(
+        sender=sender, offered=number, own=own, now=now
+    ):
         ctx.send(sender, Pull(sender=ctx.identity.peer, number=own))
 
 
@@ -47,7 +49,7 @@
     """Send a peer the tickets that it lacks, or the whole state."""
     if number >= ctx.state.number:
         return
-    batches = dissemination.entries_after(ctx.recent.entries(), number)
+    batches = dissemination.entries_after(ctx.recent_tickets.entries(), number)
     if batches is not None:
         for batch in batches:
             ctx.send(sender, Tickets(entries=batch))
@@ -60,11 +62,11 @@
     """Collect a chunk of a state; adopt the state once complete."""
     if chunk.number <= ctx.state.number:
         return
-    ctx.chunks = dissemination.merge_chunk(ctx.chunks, chunk)
-    if len(ctx.chunks) < chunk.total:
+    ctx.received_chunks = dissemination.merge_chunk(ctx.received_chunks, chunk)
+    if len(ctx.received_chunks) < chunk.total:
         return
-    parts = [ctx.chunks[i].data for i in sorted(ctx.chunks)]
-    ctx.chunks = {}
+    parts = [ctx.received_chunks[i].data for i in sorted(ctx.received_chunks)]
+    ctx.received_chunks = {}
     try:
         adopt_state(ctx, decode_state(b"".join(parts)))
     except ChiverunError as exc:
@@ -83,7 +85,7 @@
             if exc.code is ResultCode.TICKET_FORK:
                 record_fork(ctx, exc.message)
             break
-        ctx.recent.append(entry)
+        ctx.recent_tickets.append(entry)
     _publish_new_state(ctx, before)
 
 
@@ -106,7 +108,7 @@
             extra={"from": before.number},
         )
     ctx.state = state
-    ctx.recent.clear()
+    ctx.recent_tickets.clear()
     _publish_new_state(ctx, before)
 
 
--- a/tests/runtime/test_seatsystem.py
+++ b/tests/runtime/test_seatsystem.py
@@ -68,7 +68,7 @@
         self.assertEqual(2, one.plane.snapshot.state.number)
         self.assertFalse(one.plane.snapshot.confirmed)
 
-    def test_hand_over_waits_for_confirmation(self) -> None:
+    def test_transfer_waits_for_confirmation(self) -> None:
         """Guards against a transfer of a seat claimed during a pause."""
         planes, (one, two) = self._planes(2, **_QUIET)
         request = SeatRequest(
@@ -280,7 +280,7 @@
         ]
         self.assertGreaterEqual(len(announcements), 4)
 
-    def test_holder_cut_from_its_peers_reads_the_record(self) -> None:
+    def test_partitioned_holder_reads_the_record(self) -> None:
         """Guards against a partitioned holder that uses claimed seats.
 
         In a large zone, it detects the partition long after the other
@@ -368,7 +368,7 @@
 
     # Liveness.
 
-    def test_graceful_stop_hands_all_seats_over(self) -> None:
+    def test_graceful_stop_transfers_all_seats(self) -> None:
         """Guards against seats left without a holder by a graceful stop."""
         planes, (one, _two, _three) = self._planes(3)
         one.plane.handle(BeginStop())
@@ -382,7 +382,7 @@
         one.is_dead = True
         self.assertTrue(planes.run_until(planes.is_even, limit_s=5))
 
-    def test_cut_off_zone_keeps_its_seats(self) -> None:
+    def test_zone_without_store_keeps_its_seats(self) -> None:
         """Guards against seats given up because the store is down."""
         planes, started = self._planes(3)
         before = [p.held for p in started]
--- a/tests/runtime/test_ticketspread.py
+++ b/tests/runtime/test_ticketspread.py
@@ -217,7 +217,7 @@
         self.assertLessEqual(elapsed_s, IN_FORCE_LIMIT_S)
 
     @params((3, 0), (300, 0), (64, 50_000))
-    def test_zone_cut_off_and_rejoined(self, count, size):
+    def test_zone_rejoins_after_a_partition(self, count, size):
         """Guards against a zone that stays behind after a partition.
 
         The missing tickets exceed the recent ones or the size of a message.
@@ -317,7 +317,7 @@
 
 
 class PullScheduleTest(unittest.TestCase):
-    def test_peer_of_another_history(self):
+    def test_peer_with_a_forked_history(self):
         """Guards against endless transfers of states that are rejected.
 
         A peer offers a longer, forked history five times a second, while
@@ -345,7 +345,7 @@
 
 class HeadWatchTest(unittest.TestCase):
     @params(b"", b"\xff" * 9, b"\x93\x01\x02\x03")
-    def test_damaged_values(self, data):
+    def test_malformed_values(self, data):
         """Guards against malformed data that ends the thread of the watch."""
         net = joined(zones=1, per_zone=2)
         net.submit(70)
@@ -398,7 +398,7 @@
             self.assertEqual(0, watch.step(5)[0])
             self.assertTrue(watch.fault)
 
-    def test_damaged_seat_record(self):
+    def test_malformed_seat_record(self):
         """Guards against a malformed record that ends the store worker."""
         platform = Platform()
         platform.put("chiverun/seats/z0", b"\xff", None)
