--- a/chiverun/integrations/asyncclient.py
+++ b/chiverun/integrations/asyncclient.py
@@ -114,7 +114,7 @@
         self._skipped = []
         self._waiter = asyncio.get_running_loop().create_future()
         try:
-            self._transport.write(self._encode(request))
+            self._transport.write(self._encode_request(request))
             # wait_for would lose a cancellation that coincides with the
             # response.
             async with asyncio.timeout(timeout_s):
@@ -130,7 +130,7 @@
             if self.reusable and self._has_pending_bytes():
                 self.abort()
 
-    def _encode(self, request: OutgoingRequest) -> bytes:
+    def _encode_request(self, request: OutgoingRequest) -> bytes:
         head = self._http.send(
             h11.Request(
                 method=request.method,
@@ -178,12 +178,12 @@
                     self._set_result(TooLarge(limit=self._body_bytes_max))
                     return False
             case h11.EndOfMessage():
-                return self._complete()
+                return self._complete_response()
             case h11.ConnectionClosed() | h11.PAUSED:
                 return False
         return True
 
-    def _complete(self) -> bool:
+    def _complete_response(self) -> bool:
         response = self._response
         headers = [
             (name.decode("latin-1"), value.decode("latin-1"))
@@ -217,7 +217,7 @@
         self._http = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=HEADER_BYTES_MAX
         )
-        self._encode(self._request)
+        self._encode_request(self._request)
         self._response = None
         self._body = bytearray()
         if trailing:
--- a/chiverun/integrations/backend.py
+++ b/chiverun/integrations/backend.py
@@ -61,8 +61,8 @@
 class OutgoingRequest:
     """A request to send once; `deadline` is monotonic seconds.
 
-    A response's outcome header is only trusted if `to_peer` is set, since
-    backend servers do not set it.
+    A response's outcome header counts only if `to_peer` is set, since backend
+    servers cannot state an outcome.
     """
 
     method: str
@@ -124,10 +124,10 @@
         if self.is_finished:
             self.settimeout(0.0)
             return
-        left = self.deadline - self.clock.monotonic()
-        if left <= 0:
+        remaining_s = self.deadline - self.clock.monotonic()
+        if remaining_s <= 0:
             raise TimeoutError("deadline passed")
-        self.settimeout(left)
+        self.settimeout(remaining_s)
 
     def recv_into(self, *args, **kwargs) -> int:
         self.apply_deadline()
@@ -166,8 +166,8 @@
         """Prepare for an exchange that ends by `deadline`."""
         self._deadline = deadline
         self.has_started_sending = False
-        left = deadline - self._clock.monotonic()
-        self.timeout = max(0.001, min(left, _CONNECT_TIMEOUT_S))
+        remaining_s = deadline - self._clock.monotonic()
+        self.timeout = max(0.001, min(remaining_s, _CONNECT_TIMEOUT_S))
         if self.socket is not None:
             self.socket.start_exchange(deadline)
 
--- a/chiverun/integrations/peers.py
+++ b/chiverun/integrations/peers.py
@@ -24,7 +24,7 @@
 OUTBOX_BYTES_MAX = 32 * 1024 * 1024
 _OUTBOX_MESSAGES_MAX = 4096
 _CONNECTIONS_MAX = 256
-_IDLE_S = 60.0
+_IDLE_TIMEOUT_S = 60.0
 _POLL_MS = 500
 
 
@@ -125,7 +125,7 @@
             self._send_queued()
             self._close_idle()
         self._send_queued()
-        self._close()
+        self._close_sockets()
 
     def _receive_messages(self) -> None:
         while True:
@@ -145,12 +145,12 @@
                 address, payload = self._outbox.popleft()
                 self._outbox_bytes -= len(payload)
             try:
-                self._dealer(address).send(payload, zmq.NOBLOCK)
+                self._get_dealer(address).send(payload, zmq.NOBLOCK)
                 self.bytes_sent += len(payload)
             except zmq.ZMQError:
                 self.messages_dropped += 1
 
-    def _dealer(self, address: Address) -> zmq.Socket:
+    def _get_dealer(self, address: Address) -> zmq.Socket:
         now = time.monotonic()
         entry = self._dealers.pop(address, None)
         if entry is None:
@@ -173,12 +173,12 @@
         while self._dealers:
             address, (dealer, used_at) = next(iter(self._dealers.items()))
             is_over_limit = len(self._dealers) > _CONNECTIONS_MAX
-            if now - used_at < _IDLE_S and not is_over_limit:
+            if now - used_at < _IDLE_TIMEOUT_S and not is_over_limit:
                 return
             del self._dealers[address]
             dealer.close()
 
-    def _close(self) -> None:
+    def _close_sockets(self) -> None:
         for dealer, _ in self._dealers.values():
             dealer.close()
         self._router.close()
--- a/chiverun/platform/ingress.py
+++ b/chiverun/platform/ingress.py
@@ -43,7 +43,7 @@
         )
 
     async def readiness(self, incoming: IncomingRequest) -> OutgoingResponse:
-        """Return 200 if this machine accepts requests, 503 otherwise."""
+        """Return 200 if this instance accepts requests, 503 otherwise."""
         if incoming.target.partition("?")[0] != _READINESS:
             return OutgoingResponse(status=404, headers=[])
         status = 200 if self._is_ready() else 503
--- a/tests/adapter/test_edge.py
+++ b/tests/adapter/test_edge.py
@@ -20,7 +20,7 @@
 from tests.adapter.test_store import free_address
 
 _ROOT = pathlib.Path(__file__).parent.parent.parent
-_LIMIT_S = 20.0
+_TIMEOUT_S = 20.0
 
 
 class Response:
@@ -128,14 +128,14 @@
         )
 
     async def _wait_until(self, condition, what: str) -> None:
-        for _ in range(int(_LIMIT_S / 0.1)):
+        for _ in range(int(_TIMEOUT_S / 0.1)):
             try:
                 if await condition():
                     return
             except OSError:
                 pass
             await asyncio.sleep(0.1)
-        self.fail(f"not within {_LIMIT_S:g} s: {what}")
+        self.fail(f"not within {_TIMEOUT_S:g} s: {what}")
 
     async def _is_ready(self) -> bool:
         response = await call(
@@ -145,7 +145,7 @@
         )
         return response.status == 200
 
-    async def _is_up(self) -> bool:
+    async def _is_listening(self) -> bool:
         return (
             await call(self.listen["front"], build_request("/read/a"))
         ).status > 0
@@ -179,13 +179,13 @@
     async def test_no_desired_state_is_503_never_404(self) -> None:
         """Guards against a 404 before the routes are known."""
         await self._start()
-        await self._wait_until(self._is_up, "listening")
+        await self._wait_until(self._is_listening, "listening")
         response = await call(self.listen["front"], build_request("/nowhere/"))
         self.assertEqual(response.status, 503)
         self.assertFalse(await self._is_ready())
 
     async def test_draining_servers_get_no_requests(self) -> None:
-        """Guards against sending requests to draining servers."""
+        """Guards against requests to draining servers or unknown routes."""
         await self._start_until_ready()
         missing = await call(self.listen["front"], build_request("/nowhere/"))
         self.assertEqual(missing.status, 404)
@@ -210,7 +210,10 @@
         await self.store.remove("op/evacuate/musanze-a")
 
     async def test_store_failures_do_not_stop_service(self) -> None:
-        """Guards against failed requests while the store is unavailable."""
+        """Guards against failed requests when the store is unavailable.
+
+        Afterwards, its history since the last known revision is discarded.
+        """
         await self._start_until_ready()
         for faults in (Faults(refuse_with=503), Faults(silent=True)):
             self.store.faults = faults
@@ -369,7 +372,7 @@
         self.process.send_signal(signal.SIGTERM)
         late = await call(self.listen["front"], build_request("/read/1", "q2"))
         self.assertEqual((late.status, (await waiting).status), (200, 200))
-        code = await asyncio.wait_for(self.process.wait(), _LIMIT_S)
+        code = await asyncio.wait_for(self.process.wait(), _TIMEOUT_S)
         self.assertEqual(code, 0)
 
     async def test_stop_closes_idle_connections_while_requests_come(
--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -14,7 +14,7 @@
 from tests.adapter.examples import desired_state
 from tests.adapter.examples import server_entry
 
-_ME = Machine(
+_MACHINE = Machine(
     name="m1",
     peer="127.0.0.1:1",
     entry="127.0.0.1:2",
@@ -60,8 +60,8 @@
         changes = await self.store.changes_since(as_of, 0.5)
         kinds = [item.record is None for item in changes.items]
         self.assertEqual(kinds, [False, True])
-        quiet = await self.store.changes_since(changes.as_of, 0.05)
-        self.assertEqual(quiet.items, [])
+        empty = await self.store.changes_since(changes.as_of, 0.05)
+        self.assertEqual(empty.items, [])
 
     async def test_discarded_history_raises(self) -> None:
         """Guards against treating discarded history as no change."""
@@ -88,8 +88,8 @@
         """Guards against a failed registration after a lost response."""
         self.standin.faults = Faults(lose_writes=1)
         with self.assertRaises(CatalogUnavailable):
-            await self.store.register(_ME, 0)
-        self.assertFalse(await self.store.register(_ME, 0))
+            await self.store.register(_MACHINE, 0)
+        self.assertFalse(await self.store.register(_MACHINE, 0))
         keys = [i.key for i in (await self.store.read_all()).items]
         self.assertIn("chiverun/machines/m1", keys)
 
--- a/tests/integrations/test_asyncclient.py
+++ b/tests/integrations/test_asyncclient.py
@@ -16,11 +16,11 @@
 from chiverun.integrations.asyncclient import connect
 from chiverun.integrations.asyncclient import OutgoingRequest
 
-_LIMIT_S = 20.0
-_HEAD = b"HTTP/1.1 200 OK\r\n"
-_MINE = _HEAD + b"Id: mine\r\n"
-_WHOLE = _MINE + b"Content-Length: 2\r\n\r\nok"
-_OTHER = _HEAD + b"Id: other\r\nContent-Length: 5\r\n\r\nother"
+_TIMEOUT_S = 20.0
+_STATUS_LINE = b"HTTP/1.1 200 OK\r\n"
+_MATCHING_HEAD = _STATUS_LINE + b"Id: mine\r\n"
+_MATCHING_RESPONSE = _MATCHING_HEAD + b"Content-Length: 2\r\n\r\nok"
+_OTHER_RESPONSE = _STATUS_LINE + b"Id: other\r\nContent-Length: 5\r\n\r\nother"
 # Steps of a server's script other than bytes to send.
 _RESET = "reset"
 _HOLD = "hold"
@@ -28,29 +28,41 @@
 # The server's script, the end of the exchange, and whether the connection is
 # reusable.
 _CASES = {
-    "whole": ([_WHOLE], Answered, True),
-    "bytes behind the response": ([_WHOLE + b"more"], Answered, False),
-    "response of another, then mine": ([_OTHER + _WHOLE], Answered, False),
-    "response of another, then closed": ([_OTHER], Reset, False),
+    "whole": ([_MATCHING_RESPONSE], Answered, True),
+    "bytes behind the response": (
+        [_MATCHING_RESPONSE + b"more"],
+        Answered,
+        False,
+    ),
+    "response of another, then mine": (
+        [_OTHER_RESPONSE + _MATCHING_RESPONSE],
+        Answered,
+        False,
+    ),
+    "response of another, then closed": ([_OTHER_RESPONSE], Reset, False),
     "response of another that closes": (
-        [_OTHER.replace(b"Id:", b"Connection: close\r\nId:")],
+        [_OTHER_RESPONSE.replace(b"Id:", b"Connection: close\r\nId:")],
         Mismatched,
         False,
     ),
     "cut in the body": (
-        [_MINE + b"Content-Length: 9\r\n\r\nok"],
+        [_MATCHING_HEAD + b"Content-Length: 9\r\n\r\nok"],
         Incomplete,
         False,
     ),
     "reset in the body": (
-        [_MINE + b"Content-Length: 9\r\n\r\nok", _RESET],
+        [_MATCHING_HEAD + b"Content-Length: 9\r\n\r\nok", _RESET],
+        Incomplete,
+        False,
+    ),
+    "no length, closed": ([_MATCHING_HEAD + b"\r\nok"], Answered, False),
+    "no length, reset": (
+        [_MATCHING_HEAD + b"\r\nok", _RESET],
         Incomplete,
         False,
     ),
-    "no length, closed": ([_MINE + b"\r\nok"], Answered, False),
-    "no length, reset": ([_MINE + b"\r\nok", _RESET], Incomplete, False),
     "cut in a chunk": (
-        [_MINE + b"Transfer-Encoding: chunked\r\n\r\n5\r\nab"],
+        [_MATCHING_HEAD + b"Transfer-Encoding: chunked\r\n\r\n5\r\nab"],
         Incomplete,
         False,
     ),
@@ -59,17 +71,17 @@
     "reset without a response": ([_RESET], Reset, False),
     "silent": ([_HOLD], TimedOut, False),
     "silent in the body": (
-        [_MINE + b"Content-Length: 9\r\n\r\nok", _HOLD],
+        [_MATCHING_HEAD + b"Content-Length: 9\r\n\r\nok", _HOLD],
         TimedOut,
         False,
     ),
     "closes after the response": (
-        [_MINE + b"Connection: close\r\nContent-Length: 2\r\n\r\nok"],
+        [_MATCHING_HEAD + b"Connection: close\r\nContent-Length: 2\r\n\r\nok"],
         Answered,
         False,
     ),
     "too large": (
-        [_MINE + b"Content-Length: 200\r\n\r\n" + b"x" * 200],
+        [_MATCHING_HEAD + b"Content-Length: 200\r\n\r\n" + b"x" * 200],
         TooLarge,
         False,
     ),
@@ -108,18 +120,18 @@
                 self.closed.set()
             else:
                 writer.write(step)
-        if script == [_WHOLE]:
+        if script == [_MATCHING_RESPONSE]:
             # The response announces no close, so the connection stays open.
             await reader.read()
 
     async def _connect(self, address: str) -> ClientConnection:
         connection = await connect(
-            address, timeout_s=_LIMIT_S, body_bytes_max=100
+            address, timeout_s=_TIMEOUT_S, body_bytes_max=100
         )
         self.addCleanup(connection.abort)
         return connection
 
-    async def _exchange(self, connection, timeout_s: float = _LIMIT_S):
+    async def _exchange(self, connection, timeout_s: float = _TIMEOUT_S):
         request = OutgoingRequest(
             method=b"GET",
             target=b"/a",
@@ -134,7 +146,7 @@
         for name, (script, expected_type, reusable) in _CASES.items():
             with self.subTest(name):
                 connection = await self._connect(await self._serve(script))
-                timeout_s = 0.3 if _HOLD in script else _LIMIT_S
+                timeout_s = 0.3 if _HOLD in script else _TIMEOUT_S
                 end = await self._exchange(connection, timeout_s)
                 self.assertIsInstance(end, expected_type)
                 self.assertEqual(reusable, connection.reusable)
@@ -144,7 +156,7 @@
     async def test_bytes_while_idle_close_the_connection(self) -> None:
         """Guards against taking a late response for the next one."""
         connection = await self._connect(
-            await self._serve([_WHOLE, b"", _WHOLE])
+            await self._serve([_MATCHING_RESPONSE, b"", _MATCHING_RESPONSE])
         )
         self.assertIsInstance(await self._exchange(connection), Answered)
         while connection.reusable:
@@ -159,7 +171,7 @@
         task.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await task
-        await asyncio.wait_for(self.closed.wait(), _LIMIT_S)
+        await asyncio.wait_for(self.closed.wait(), _TIMEOUT_S)
         self.assertFalse(connection.reusable)
 
     async def test_refused_connection(self) -> None:
--- a/tests/integrations/test_asyncserver.py
+++ b/tests/integrations/test_asyncserver.py
@@ -9,7 +9,7 @@
 from chiverun.integrations.asyncserver import ListenerState
 from chiverun.integrations.asyncserver import OutgoingResponse
 
-_LIMIT_S = 20.0
+_TIMEOUT_S = 20.0
 _LIMITS = ClientLimits(
     header_bytes=1024,
     body_bytes=100,
@@ -20,7 +20,7 @@
 
 class AsyncServerTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.seen: list[IncomingRequest] = []
+        self.handled_requests: list[IncomingRequest] = []
         self.cancelled = asyncio.Event()
         self.state = ListenerState(handler=self._handle, limits=_LIMITS)
         server = await listen("127.0.0.1:0", self.state)
@@ -28,12 +28,12 @@
         self.address = server.sockets[0].getsockname()
 
     async def _handle(self, incoming: IncomingRequest) -> OutgoingResponse:
-        self.seen.append(incoming)
+        self.handled_requests.append(incoming)
         if incoming.target == "/fails":
             raise ValueError("test")
         if incoming.target == "/waits":
             try:
-                await asyncio.sleep(_LIMIT_S)
+                await asyncio.sleep(_TIMEOUT_S)
             except asyncio.CancelledError:
                 self.cancelled.set()
                 raise
@@ -45,7 +45,7 @@
         reader, writer = await asyncio.open_connection(*self.address)
         writer.write(raw)
         try:
-            return await asyncio.wait_for(reader.read(), _LIMIT_S)
+            return await asyncio.wait_for(reader.read(), _TIMEOUT_S)
         finally:
             writer.close()
 
@@ -79,7 +79,7 @@
                 self.assertEqual(
                     f"{status}".encode(), response[9:12], response
                 )
-        self.assertEqual([], self.seen)
+        self.assertEqual([], self.handled_requests)
 
     async def test_slow_head_and_idle_connections_are_closed(self) -> None:
         """Guards against connections held open by silent callers."""
@@ -113,10 +113,10 @@
         """Guards against work for callers that have disconnected."""
         _, writer = await asyncio.open_connection(*self.address)
         writer.write(b"GET /waits HTTP/1.1\r\nHost: x\r\n\r\n")
-        while not self.seen:
+        while not self.handled_requests:
             await asyncio.sleep(0.01)
         writer.close()
-        await asyncio.wait_for(self.cancelled.wait(), _LIMIT_S)
+        await asyncio.wait_for(self.cancelled.wait(), _TIMEOUT_S)
 
     async def test_failed_handler_returns_500(self) -> None:
         """Guards against a request without a response."""
--- a/tests/integrations/test_backend.py
+++ b/tests/integrations/test_backend.py
@@ -26,7 +26,7 @@
 
 _OK = b"HTTP/1.1 200 OK\r\n"
 _ID = b"X-Request-Id: %(id)s\r\n"
-_WHOLE = _OK + _ID + b"Content-Length: 2\r\n\r\nok"
+_COMPLETE = _OK + _ID + b"Content-Length: 2\r\n\r\nok"
 _RESET = "reset"
 _HOLD = "hold"
 _DRIP = "drip"
@@ -37,7 +37,7 @@
     """Server that answers the requests of each connection by a script.
 
     A step of a script is bytes to send or the name of a fault. ``%(id)s`` in
-    the bytes stands for the request's id. `seen` counts the requests read.
+    the bytes stands for the request's id.
     """
 
     def __init__(self, *connections) -> None:
@@ -45,14 +45,14 @@
         self._listener = socket.create_server(("127.0.0.1", 0))
         host, port = self._listener.getsockname()
         self.address = f"{host}:{port}"
-        self.seen = 0
-        self.done = threading.Event()
-        self.ended = threading.Event()
+        self.requests_read = 0
+        self.stopping = threading.Event()
+        self.connection_ended = threading.Event()
         threading.Thread(target=self._accept, daemon=True).start()
 
     def close(self) -> None:
         """Close all connections."""
-        self.done.set()
+        self.stopping.set()
         self._listener.close()
 
     def _accept(self) -> None:
@@ -67,7 +67,7 @@
 
     def _serve(self, conn: socket.socket, script) -> None:
         self._run(conn, script)
-        self.ended.set()
+        self.connection_ended.set()
 
     def _run(self, conn: socket.socket, script) -> None:
         with conn, conn.makefile("rb") as stream:
@@ -75,14 +75,14 @@
                 request_id = _read_request(stream)
                 if request_id is None:
                     return
-                self.seen += 1
+                self.requests_read += 1
                 if step == _RESET:
                     conn.setsockopt(
                         socket.SOL_SOCKET, socket.SO_LINGER, b"\1" + b"\0" * 7
                     )
                     return
                 if step == _HOLD:
-                    self.done.wait(30)
+                    self.stopping.wait(30)
                     return
                 if step in (_DRIP, _DRIP_HEADERS):
                     self._drip(conn, is_body=step == _DRIP)
@@ -98,7 +98,7 @@
                 conn.sendall(b"x")
             except OSError:
                 return
-            if self.done.wait(0.05):
+            if self.stopping.wait(0.05):
                 return
 
 
@@ -156,7 +156,7 @@
             self.assertIsInstance(end, Answered)
 
     @params(
-        ("whole", _WHOLE, Answered),
+        ("whole", _COMPLETE, Answered),
         ("reset after running", _RESET, Reset),
         ("closed without response", b"", Reset),
         ("garbage", b"\x00\xff garbage\r\n\r\n", Reset),
@@ -164,7 +164,7 @@
         ("dripping", _DRIP, TimedOut),
         ("dripping headers", _DRIP_HEADERS, TimedOut),
         ("short", _OK + _ID + b"Content-Length: 5\r\n\r\nok", Incomplete),
-        ("excess", _WHOLE + b"more", Incomplete),
+        ("excess", _COMPLETE + b"more", Incomplete),
         (
             "two lengths",
             _OK + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\nok",
@@ -185,7 +185,7 @@
         ),
         (
             "interim status",
-            b"HTTP/1.1 103 Early Hints\r\n\r\n" + _WHOLE,
+            b"HTTP/1.1 103 Early Hints\r\n\r\n" + _COMPLETE,
             Incomplete,
         ),
         (
@@ -219,20 +219,20 @@
             end = self._exchange(server.address, fresh_connection=fresh)
             self.assertIsInstance(end, kind)
             self.assertLess(time.monotonic() - started, 2.0)
-            self.assertEqual(1, server.seen)
+            self.assertEqual(1, server.requests_read)
             if kind not in (Answered, Shed):
                 self.assertIs(Outcome.UNKNOWN, classify(end).outcome)
 
     @params(
-        ("id of another", _WHOLE.replace(b"%(id)s", b"id-9")),
-        ("excess", _WHOLE + _WHOLE),
-        ("interim status", b"HTTP/1.1 103 Hints\r\n\r\n" + _WHOLE),
+        ("id of another", _COMPLETE.replace(b"%(id)s", b"id-9")),
+        ("excess", _COMPLETE + _COMPLETE),
+        ("interim status", b"HTTP/1.1 103 Hints\r\n\r\n" + _COMPLETE),
         ("late", _HOLD),
         ("short", _OK + _ID + b"Content-Length: 5\r\n\r\nok"),
     )
     def test_connection_is_not_used_again(self, _case, step):
         """Guards against reading a stale response on a reused connection."""
-        server = self._server([step, step], [_WHOLE, _WHOLE])
+        server = self._server([step, step], [_COMPLETE, _COMPLETE])
         self._exchange(server.address)
         for number in (2, 3):
             end = self._exchange(server.address, number)
@@ -245,9 +245,9 @@
         The late response has no id and arrives while the connection is used
         by the next request.
         """
-        stray = b"HTTP/1.1 503 No\r\nX-Shed: overload\r\n"
-        stray += b"Content-Length: 0\r\n\r\n"
-        server = self._server([_WHOLE, stray])
+        late_response = b"HTTP/1.1 503 No\r\nX-Shed: overload\r\n"
+        late_response += b"Content-Length: 0\r\n\r\n"
+        server = self._server([_COMPLETE, late_response])
         self.assertIsInstance(self._exchange(server.address), Answered)
         end = self._exchange(server.address, 2)
         self.assertIs(Outcome.UNKNOWN, classify(end).outcome)
@@ -257,14 +257,14 @@
 
         The server closes the kept connection between two requests.
         """
-        server = self._server([_WHOLE], [_WHOLE])
+        server = self._server([_COMPLETE], [_COMPLETE])
         self._exchange(server.address)
-        self.assertTrue(server.ended.wait(10))
+        self.assertTrue(server.connection_ended.wait(10))
         self.assertIsInstance(self._exchange(server.address, 2), Answered)
 
     def test_kept_connection_closed_while_writing(self):
         """Guards against sending a request twice or reporting it not run."""
-        server = self._server([_WHOLE, _RESET], [_WHOLE])
+        server = self._server([_COMPLETE, _RESET], [_COMPLETE])
         self._exchange(server.address)
         body = b"x" * 20_000_000
         end = self._exchange(
@@ -275,7 +275,7 @@
             deadline=_deadline_in(5),
         )
         self.assertIs(Outcome.UNKNOWN, classify(end).outcome)
-        self.assertEqual(2, server.seen)
+        self.assertEqual(2, server.requests_read)
 
     def test_server_that_does_not_read(self):
         """Guards against writing past the deadline."""
@@ -289,7 +289,7 @@
 
     def test_request_cut_while_writing_is_not_continued_elsewhere(self):
         """Guards against sending a request's rest on a new connection."""
-        server = self._server([_WHOLE], [_WHOLE])
+        server = self._server([_COMPLETE], [_COMPLETE])
         conn = self.backends._acquire(server.address, True)
         conn.start_exchange(_deadline_in(1))
         conn.send(b"POST / HTTP/1.1\r\nContent-Length: 100\r\n\r\n")
@@ -302,10 +302,10 @@
 
         A refused connection also proves that nothing has been sent.
         """
-        server = self._server([_WHOLE])
+        server = self._server([_COMPLETE])
         end = self._exchange(server.address, deadline=_deadline_in(-1))
         self.assertIsInstance(end, NotSent)
-        self.assertEqual(0, server.seen)
+        self.assertEqual(0, server.requests_read)
         server.close()
         self.assertIsInstance(self._exchange("127.0.0.1:9"), NotSent)
 
@@ -314,7 +314,7 @@
 
         The second response on each connection has a wrong id.
         """
-        steps = [_WHOLE, _WHOLE.replace(b"%(id)s", b"id-9"), _WHOLE]
+        steps = [_COMPLETE, _COMPLETE.replace(b"%(id)s", b"id-9"), _COMPLETE]
         server = self._server(*[steps for _ in range(400)])
         mismatched = []
 
--- a/tests/integrations/test_peers.py
+++ b/tests/integrations/test_peers.py
@@ -20,63 +20,67 @@
 class PeersTest(unittest.TestCase):
     def setUp(self) -> None:
         self._received: list[bytes] = []
-        self._arrived = threading.Condition()
+        self._received_changed = threading.Condition()
         self._peer_address = _address()
-        self.one = ZmqPeers(bind=_address(), addresses=AddressMap(mapping={}))
-        self.two = ZmqPeers(
+        self.sender = ZmqPeers(
+            bind=_address(), addresses=AddressMap(mapping={})
+        )
+        self.receiver = ZmqPeers(
             bind=self._peer_address, addresses=AddressMap(mapping={})
         )
-        self.one.start(lambda data: None)
-        self.addCleanup(self.one.stop)
-        self.addCleanup(self.two.stop)
+        self.sender.start(lambda data: None)
+        self.addCleanup(self.sender.stop)
+        self.addCleanup(self.receiver.stop)
 
     def _receive(self, data: bytes) -> None:
-        with self._arrived:
+        with self._received_changed:
             self._received.append(data)
-            self._arrived.notify_all()
+            self._received_changed.notify_all()
 
     def _wait_for_messages(self, count: int) -> None:
-        with self._arrived:
-            done = self._arrived.wait_for(
+        with self._received_changed:
+            done = self._received_changed.wait_for(
                 lambda: len(self._received) >= count, timeout=5
             )
         self.assertTrue(done, f"{len(self._received)} of {count} arrived")
 
     def test_messages_before_and_after_the_peer_starts(self) -> None:
         """Guards against losing messages that are sent before the start."""
-        self.one.send(self._peer_address, b"early")
-        self.two.start(self._receive)
+        self.sender.send(self._peer_address, b"early")
+        self.receiver.start(self._receive)
         self._wait_for_messages(1)
-        self.one.send(self._peer_address, b"late")
+        self.sender.send(self._peer_address, b"late")
         self._wait_for_messages(2)
         self.assertEqual([b"early", b"late"], self._received)
 
     def test_oversized_message_does_not_arrive(self) -> None:
         """Guards against a peer that exhausts this process's memory."""
-        self.two.start(self._receive)
-        self.one.send(self._peer_address, b"x" * (3 * 1024 * 1024))
-        self.one.send(self._peer_address, b"small")
+        self.receiver.start(self._receive)
+        self.sender.send(self._peer_address, b"x" * (3 * 1024 * 1024))
+        self.sender.send(self._peer_address, b"small")
         deadline = time.monotonic() + 5
         while not self._received and time.monotonic() < deadline:
-            self.one.send(self._peer_address, b"small")
+            self.sender.send(self._peer_address, b"small")
             time.sleep(0.1)
         self.assertEqual({b"small"}, set(self._received))
 
     def test_queue_to_send_is_bounded(self) -> None:
         """Guards against a send queue that grows without limit."""
-        idle = ZmqPeers(bind=_address(), addresses=AddressMap(mapping={}))
-        idle._stopping.set()
-        part = b"x" * (1024 * 1024)
-        for _ in range(2 * peers_module.OUTBOX_BYTES_MAX // len(part)):
-            idle.send(self._peer_address, part)
-        self.assertLessEqual(idle._outbox_bytes, peers_module.OUTBOX_BYTES_MAX)
+        unstarted = ZmqPeers(bind=_address(), addresses=AddressMap(mapping={}))
+        unstarted._stopping.set()
+        payload = b"x" * (1024 * 1024)
+        for _ in range(2 * peers_module.OUTBOX_BYTES_MAX // len(payload)):
+            unstarted.send(self._peer_address, payload)
+        self.assertLessEqual(
+            unstarted._outbox_bytes, peers_module.OUTBOX_BYTES_MAX
+        )
         self.assertEqual(
-            idle._outbox_bytes, sum(len(p) for _, p in idle._outbox)
+            unstarted._outbox_bytes, sum(len(p) for _, p in unstarted._outbox)
         )
 
     def test_address_in_use(self) -> None:
         """Guards against two processes that claim an address's seats."""
-        self.two.start(self._receive)
+        self.receiver.start(self._receive)
         other = ZmqPeers(
             bind=self._peer_address, addresses=AddressMap(mapping={})
         )
--- a/tests/integrations/test_web.py
+++ b/tests/integrations/test_web.py
@@ -28,7 +28,7 @@
 
 
 class WebTest(unittest.TestCase):
-    seen = []
+    handled_requests = []
     error = None
     gate = threading.Event()
 
@@ -43,11 +43,11 @@
 
     def setUp(self):
         type(self).error = None
-        self.seen.clear()
+        self.handled_requests.clear()
 
     @classmethod
     def _handle(cls, req):
-        cls.seen.append((req.method, req.path, req.body))
+        cls.handled_requests.append((req.method, req.path, req.body))
         if req.path == "/wait":
             cls.gate.wait(20)
         if cls.error is not None:
@@ -119,8 +119,9 @@
         self._assert_rejected(self._send(raw + _SMUGGLED))
 
     def _assert_rejected(self, received: bytes) -> None:
-        self.assertEqual([], self.seen)
-        # A close with unread bytes may overtake the response.
+        self.assertEqual([], self.handled_requests)
+        # Closing with unread bytes resets the connection, so the response
+        # may be lost.
         if received:
             self.assertIn(received.split()[1], _ERROR_STATUSES)
             self.assertIn(b"X-Chiverun-Outcome: not-run", received)
@@ -138,7 +139,7 @@
     def test_truncated_request_is_not_run(self, _case, raw):
         """Guards against running a truncated request."""
         received = self._send(raw, closes_after=True)
-        self.assertEqual([], self.seen)
+        self.assertEqual([], self.handled_requests)
         if received:
             self.assertIn(b"X-Chiverun-Outcome: not-run", received)
 
@@ -153,7 +154,7 @@
         for conn in busy:
             self.addCleanup(conn.close)
             conn.sendall(b"GET /wait HTTP/1.1\r\nHost: a\r\n\r\n")
-        wait_until(lambda: len(self.seen) == 2, 20, "busy threads")
+        wait_until(lambda: len(self.handled_requests) == 2, 20, "busy threads")
         with socket.create_connection(self.address, 5) as conn:
             conn.sendall(_POST + b"Content-Length: 4\r\n\r\nbody")
             conn.shutdown(socket.SHUT_WR)
@@ -161,7 +162,7 @@
             received = b""
             while data := conn.recv(65536):
                 received += data
-        self.assertEqual([("GET", "/wait", b"")] * 2, self.seen)
+        self.assertEqual([("GET", "/wait", b"")] * 2, self.handled_requests)
         self.assertIn(b"X-Chiverun-Outcome: not-run", received)
 
     @params(
@@ -177,7 +178,7 @@
     def test_leftover_is_not_run(self, _case, raw):
         """Guards against running bytes that follow a request."""
         received = self._send(raw)
-        self.assertEqual([("POST", "/s/x", b"body")], self.seen)
+        self.assertEqual([("POST", "/s/x", b"body")], self.handled_requests)
         self.assertEqual(1, received.count(b"HTTP/1.1 "))
 
     @params(
@@ -208,5 +209,6 @@
                 while not received.endswith(b"done"):
                     received += conn.recv(65536)
         self.assertEqual(
-            [("POST", "/s/x", b"x" * n) for n in range(3)], self.seen
+            [("POST", "/s/x", b"x" * n) for n in range(3)],
+            self.handled_requests,
         )
--- a/tests/run.py
+++ b/tests/run.py
@@ -54,18 +54,18 @@
         exit=False,
         extraHooks=[("testOutcome", outcomes)],
     )
-    known = _known_red()
-    red = [name for name in outcomes.failed if name in known]
-    for name in red:
+    known_red = _known_red()
+    known_failures = [name for name in outcomes.failed if name in known_red]
+    for name in known_failures:
         print(f"known red: {name}")
-    for name in sorted(known.intersection(outcomes.passed)):
+    for name in sorted(known_red.intersection(outcomes.passed)):
         print(f"listed in KNOWN-RED.txt but passed: {name}")
     print(f"{len(outcomes.passed)} passed, {len(outcomes.failed)} failed")
     if not outcomes.passed:
         return 1
-    if len(outcomes.failed) > len(red):
+    if len(outcomes.failed) > len(known_failures):
         return 1
-    return 0 if program.result.wasSuccessful() or red else 1
+    return 0 if program.result.wasSuccessful() or known_failures else 1
 
 
 if __name__ == "__main__":
