--- a/chiverun/cli.py
+++ b/chiverun/cli.py
@@ -114,7 +114,7 @@
         if entry is None:
             raise ChiverunError(
                 ResultCode.TICKET_NOT_FOUND,
-                f"ticket {number} is not in the log; valid: see ticket log",
+                f"ticket {number} is not in the log; see ticket log",
             )
         return _format_json(entry)
 
@@ -226,7 +226,8 @@
             data = stream.read(_FILE_BYTES_MAX + 1)
     except (OSError, ValueError) as exc:
         raise ChiverunError(
-            ResultCode.FILE_NOT_READABLE, f"ticket file {file}: {exc}"
+            ResultCode.FILE_NOT_READABLE,
+            f"cannot read ticket file {file}: {exc}",
         ) from exc
     if len(data) > _FILE_BYTES_MAX:
         raise ChiverunError(
--- a/chiverun/integrations/store.py
+++ b/chiverun/integrations/store.py
@@ -62,7 +62,9 @@
         try:
             value = base64.b64decode(pair.value or "", validate=True)
         except ValueError as exc:
-            raise StoreUnavailable(f"read {key}: not base64: {exc}") from exc
+            raise StoreUnavailable(
+                f"read {key}: value is not valid base64: {exc}"
+            ) from exc
         return Item(key=pair.key, value=value, index=pair.modify_index)
 
     def put(self, key: str, value: bytes, *, cas: int) -> bool:
--- a/chiverun/platform/settings.py
+++ b/chiverun/platform/settings.py
@@ -48,7 +48,8 @@
         text = pathlib.Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
         raise ChiverunError(
-            ResultCode.FILE_NOT_READABLE, f"settings {path}: {exc}"
+            ResultCode.FILE_NOT_READABLE,
+            f"cannot read settings file {path}: {exc}",
         ) from exc
     return decode_settings(text)
 
@@ -65,7 +66,7 @@
         return _decode_body(json.loads(text))
     except (values.InvalidValueError, ValueError) as exc:
         raise ChiverunError(
-            ResultCode.SETTING_INVALID, f"settings file: {exc}"
+            ResultCode.SETTING_INVALID, f"invalid settings file: {exc}"
         ) from exc
 
 
