--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks formatting and lint rules; `scripts/lint.sh --fix` applies them.
+# Checks formatting and lint rules; --fix reformats and fixes what it can.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin="$(scripts/setup.sh)"
--- a/standins/measure_stops.py
+++ b/standins/measure_stops.py
@@ -175,7 +175,7 @@
                 for service in run.spec.services
             },
         )
-        for index, (name, start_drain, store_faults) in enumerate(
+        for number, (name, start_drain, store_faults) in enumerate(
             (
                 ("ticket", drain_by_ticket, {}),
                 ("instance list", drain_by_list, {}),
@@ -189,11 +189,10 @@
                 ("server, no store", drain_by_fault("draining"), None),
             )
         ):
-            if store_faults is None:
-                store_faults = {"outage": True}
-            cluster.admin(store, **store_faults)
+            faults = {"outage": True} if store_faults is None else store_faults
+            cluster.admin(store, **faults)
             time.sleep(1.0)
-            server = servers[index]
+            server = servers[number]
             drained[name] = audit.Drain(server=server.name, at=time.time())
             start_drain(server)
             time.sleep(_DRAIN_S)
@@ -367,8 +366,9 @@
         offered_count = sum(1 for t in offered if start <= t < start + span_s)
         if not offered_count:
             continue
-        goal_count = 0.9 * fraction * offered_count
-        if moved_count >= min(goal_count, 0.7 * cap.cap_per_s * span_s):
+        if moved_count >= min(
+            0.9 * fraction * offered_count, 0.7 * cap.cap_per_s * span_s
+        ):
             return round(step / 10, 1)
     return None
 
--- a/tests/proofs/test_startup.py
+++ b/tests/proofs/test_startup.py
@@ -1,4 +1,4 @@
-"""Proof with processes: an instance that cannot start ends by itself."""
+"""Tests with a real process that an instance exits if it cannot start."""
 
 import pathlib
 import subprocess
@@ -9,7 +9,7 @@
 from nose2.tools import params
 
 _ROOT = pathlib.Path(__file__).parent.parent.parent
-_PORTS = ("lookup", "entry", "forward", "peer")
+_PORT_NAMES = ("lookup", "entry", "forward", "peer")
 _SETTINGS = """
 [instance]
 name = a
@@ -24,18 +24,18 @@
 
 class StartupTest(unittest.TestCase):
     @params("entry", "forward", "peer")
-    def test_address_in_use(self, port):
-        """Guards against a process that hangs after it failed to listen."""
-        numbers = {name: 7001 + i for i, name in enumerate(_PORTS)}
-        numbers[port] = numbers["lookup"]
+    def test_address_in_use(self, name):
+        """Guards against a process that hangs after it fails to listen."""
+        port_by_name = {key: 7001 + i for i, key in enumerate(_PORT_NAMES)}
+        port_by_name[name] = port_by_name["lookup"]
         addresses = "\n".join(
-            f"{name}_address = 127.8.0.2:{number}"
-            for name, number in numbers.items()
+            f"{key}_address = 127.8.0.2:{port}"
+            for key, port in port_by_name.items()
         )
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "a.ini"
             path.write_text(_SETTINGS.format(addresses=addresses))
-            done = subprocess.run(
+            result = subprocess.run(
                 [
                     sys.executable,
                     "-m",
@@ -50,6 +50,6 @@
                 timeout=60,
                 check=False,
             )
-        self.assertEqual(7, done.returncode, done.stderr)
-        self.assertIn("PORT_IN_USE (702)", done.stderr)
-        self.assertNotIn("Traceback", done.stderr.splitlines()[-1])
+        self.assertEqual(7, result.returncode, result.stderr)
+        self.assertIn("PORT_IN_USE (702)", result.stderr)
+        self.assertNotIn("Traceback", result.stderr.splitlines()[-1])
--- a/tests/proofs/test_tickets.py
+++ b/tests/proofs/test_tickets.py
@@ -56,7 +56,7 @@
 
     @classmethod
     def wait(cls, condition) -> None:
-        wait_until(condition, _WAIT_LIMIT_S, "condition on the instances")
+        wait_until(condition, _WAIT_LIMIT_S, "condition")
 
     @classmethod
     def status(cls, name: str) -> dict:
--- a/tests/proofs/test_zonedrain.py
+++ b/tests/proofs/test_zonedrain.py
@@ -1,4 +1,4 @@
-"""Proof with real processes that a drained zone gets no new requests."""
+"""Tests with real processes that a drained zone gets no new requests."""
 
 import json
 import pathlib
@@ -35,20 +35,20 @@
                 program=source_program(),
             )
             with running(self.cluster):
-                self._prove()
+                self._check_drain()
 
-    def _prove(self) -> None:
-        self.assertEqual({200}, self._requests())
-        self.assertGreater(self._started(), 0)
+    def _check_drain(self) -> None:
+        self.assertEqual({200}, self._send_requests())
+        self.assertGreater(self._started_count(), 0)
         self._submit(2, "drain")
-        self.assertNotIn(_ZONE, self._looked_up())
-        before = self._started()
-        self.assertEqual({200}, self._requests())
-        self.assertEqual(before, self._started())
+        self.assertNotIn(_ZONE, self._lookup_zones())
+        started_before = self._started_count()
+        self.assertEqual({200}, self._send_requests())
+        self.assertEqual(started_before, self._started_count())
         self._submit(3, "active")
-        self.assertIn(_ZONE, self._looked_up())
-        self._requests()
-        self.assertGreater(self._started(), before)
+        self.assertIn(_ZONE, self._lookup_zones())
+        self._send_requests()
+        self.assertGreater(self._started_count(), started_before)
 
     def _instances(self) -> list[deployment.InstanceSpec]:
         return deployment.instances(self.cluster.spec)
@@ -64,13 +64,13 @@
                 for i in self._instances()
             ),
             30,
-            "in force",
+            f"ticket {number} in force",
         )
-        # Summaries with the room of the zone are exchanged each second.
+        # Instances exchange the zone's free slots every second.
         time.sleep(3)
 
-    def _requests(self) -> set[int]:
-        """Send requests to instances of the zone and of its region."""
+    def _send_requests(self) -> set[int]:
+        """Send requests to the instances of the zone's region."""
         statuses = set()
         for instance in self._instances():
             if instance.region != "amajyepfo":
@@ -87,8 +87,8 @@
                 statuses.add(resp.status)
         return statuses
 
-    def _started(self) -> int:
-        """Count the requests that servers of the zone began to run."""
+    def _started_count(self) -> int:
+        """Return the number of requests that the zone's servers started."""
         count = 0
         for server in deployment.servers(self.cluster.spec):
             if server.zone == _ZONE:
@@ -97,15 +97,19 @@
                 count += sum(e["event"] == "start" for e in events)
         return count
 
-    def _looked_up(self) -> set[str]:
-        """Return the zones that look-ups for the zone's clients name."""
-        zones = {self.cluster.local(i.host): i.zone for i in self._instances()}
-        found = set()
+    def _lookup_zones(self) -> set[str]:
+        """Return the zones in lookup responses for clients of the zone."""
+        zone_by_host = {
+            self.cluster.local(i.host): i.zone for i in self._instances()
+        }
+        found_zones = set()
         for instance in self._instances():
             host = self.cluster.local(instance.host)
-            answer = self.cluster.get_json(
+            resp = self.cluster.get_json(
                 f"http://{host}:{deployment.LOOKUP_PORT}/v1/lookup"
                 "?service=race-works&client=10.3.0.1"
             )
-            found |= {zones[a.rpartition(":")[0]] for a in answer["instances"]}
-        return found
+            found_zones |= {
+                zone_by_host[a.rpartition(":")[0]] for a in resp["instances"]
+            }
+        return found_zones
