--- a/standins/measure_real.py
+++ b/standins/measure_real.py
@@ -52,7 +52,7 @@
 _SLOTS_PER_SERVER = 4
 _LOAD_S = 4.0
 _WARM_UP_S = 1.0
-_TICK_INTERVAL_S = 0.1
+_UPDATE_INTERVAL_S = 0.1
 _REPETITIONS = 3
 _CALLER_THREADS = 48
 _START_LIMIT_S = 20.0
@@ -248,7 +248,7 @@
     stopped = threading.Event()
 
     def update_snapshots() -> None:
-        while not stopped.wait(_TICK_INTERVAL_S):
+        while not stopped.wait(_UPDATE_INTERVAL_S):
             for system in systems:
                 if isinstance(system, _Instance):
                     system.update_snapshot()
