--- a/standins/audit.py
+++ b/standins/audit.py
@@ -1,6 +1,6 @@
-"""Joins callers' records with what backend servers logged that they ran.
+"""Audits a run by joining callers' records with backend servers' logs.
 
-Nothing is taken from chiverun's own account of itself.
+Neither chiverun's own logs nor its metrics are used.
 """
 
 import collections
@@ -14,9 +14,9 @@
 from hdrh.histogram import HdrHistogram
 
 WINDOW_S = 1.0
-# A draining server may get new work for this long.
+# New requests may reach a draining server for this long.
 DRAIN_S = 3.0
-# Between a caller's note of a try's start and its sending.
+# Time between a caller's recording an attempt and sending it.
 DEADLINE_MARGIN_S = 0.05
 _BYTES_PER_MBIT = 125_000
 
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ShiftCap:
-    """The cap of a shift while its ticket was in force (wall-clock)."""
+    """The cap of a shift, and when its ticket was in force (wall clock)."""
 
     service: str
     source: str
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Drain:
-    """A server that was draining from `at` to `until` (wall-clock)."""
+    """A server that was draining from `at` to `until` (wall clock)."""
 
     server: str
     at: float
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Limits:
-    """What must have been kept; a link rate of 0 is not checked."""
+    """Limits to check a run against; a link rate of 0 is not checked."""
 
     region_of_zone: dict[str, str]
     shift_caps: tuple[ShiftCap, ...] = ()
@@ -58,8 +58,8 @@
 class Records:
     """Callers' requests, servers' events, and bytes between zones.
 
-    `unreadable` counts the lines that could not be read, other than a last
-    line that was cut off when its process ended.
+    `unreadable` counts the lines that cannot be parsed, except for a
+    truncated last line, which a process leaves when it is killed.
     """
 
     callers: list[Record]
@@ -69,7 +69,7 @@
 
 
 def read_records(folder: pathlib.Path, servers: Iterable[str]) -> Records:
-    """Read the files of a run."""
+    """Read the log files of a run."""
     callers, bad_callers = read_lines([folder / "callers.jsonl"])
     events, bad_events = read_lines(folder / f"{s}.jsonl" for s in servers)
     relay = folder / "relay.jsonl"
@@ -83,7 +83,7 @@
 
 
 def read_lines(paths: Iterable[pathlib.Path]) -> tuple[list[Record], int]:
-    """Read JSON lines; return them and the number of unreadable ones."""
+    """Return the records of JSON lines files and the unreadable line count."""
     records = []
     unreadable = 0
     for path in paths:
@@ -99,12 +99,12 @@
 def audit(records: Records, limits: Limits) -> dict[str, Any]:
     """Return the figures of a run.
 
-    ``not_run_but_ran`` counts tries whose outcome was "not run" although a
-    backend server started that very try.
+    ``not_run_but_ran`` counts attempts whose outcome was "not run" although
+    a backend server started the same attempt.
     """
     callers, events = records.callers, records.events
     starts = [e for e in events if e["event"] == "start"]
-    finals = [_final(r) for r in callers]
+    finals = [_final_outcome(r) for r in callers]
     answered = [
         r for r, f in zip(callers, finals, strict=True) if f == "answered"
     ]
@@ -127,8 +127,8 @@
     }
 
 
-def _final(record: Record) -> str:
-    """Return what the caller knows in the end."""
+def _final_outcome(record: Record) -> str:
+    """Return the outcome of a request over all its attempts."""
     outcomes = record["outcomes"]
     if "answered" in outcomes:
         return "answered"
@@ -138,10 +138,10 @@
 
 
 def _ran_twice(callers: list[Record], starts: list[Record]) -> int:
-    """Count requests that may not be repeated and were.
+    """Count non-repeatable requests that ran more than once.
 
-    Requests whose caller ended before it wrote its record are known from
-    the servers' events only.
+    Requests whose caller ended before writing its record appear only in
+    the servers' events, so requests without a record are counted too.
     """
     repeatable = {r["token"] for r in callers if r["repeatable"]}
     counts = collections.Counter(
@@ -164,7 +164,7 @@
 
 
 def _late_starts(callers: list[Record], starts: list[Record]) -> int:
-    """Count starts after the deadline of the try that they belong to."""
+    """Count starts after the deadline of their attempt."""
     by_token = {r["token"]: r for r in callers}
     late = 0
     for event in starts:
@@ -187,7 +187,7 @@
 
 
 def _over_shift_caps(starts: list[Record], limits: Limits) -> int:
-    """Count starts beyond a shift's cap in any window of one second."""
+    """Count starts that exceed a shift's cap in any one-second window."""
     return sum(
         count_over(crossing_times(starts, cap, limits), cap.cap_per_s)
         for cap in limits.shift_caps
@@ -197,7 +197,7 @@
 def crossing_times(
     starts: list[Record], cap: ShiftCap, limits: Limits
 ) -> list[float]:
-    """Return when requests of a shift's source started at its target."""
+    """Return when requests from a shift's source started at its target."""
     return sorted(
         e["t"]
         for e in starts
@@ -209,7 +209,7 @@
 
 
 def count_over(times: list[float], cap: int) -> int:
-    """Count the times that exceed a cap within the second before them."""
+    """Count the times preceded by `cap` or more others within a second."""
     return sum(
         1
         for index in range(cap, len(times))
@@ -218,10 +218,10 @@
 
 
 def _over_links(traffic: list[Record], limits: Limits) -> int:
-    """Count the buckets at whose end a link carried more than its rate.
+    """Count the log records at which a link exceeded its rate.
 
-    The relay counts all bytes between two zones, chiverun's own messages
-    included.
+    The relay counts all bytes between two zones, including chiverun's own
+    messages.
     """
     if not limits.link_mbit_per_s:
         return 0
@@ -237,11 +237,11 @@
 def link_bytes(
     traffic: list[Record], limits: Limits
 ) -> dict[tuple[str, str], list[tuple[float, int]]]:
-    """Return times and bytes passed on by source and target region."""
+    """Return the times and sizes of relayed bytes by region pair."""
     by_link: dict[tuple[str, str], list[tuple[float, int]]] = {}
     regions = limits.region_of_zone
     for record in sorted(traffic, key=lambda r: r["t"]):
-        # The store is no zone; its traffic is not chiverun's to limit.
+        # The store is in no zone; link rates don't apply to its traffic.
         source = regions.get(record["source"])
         target = regions.get(record["destination"])
         if source and target and source != target:
@@ -252,12 +252,12 @@
 
 
 def most_bytes_in_a_second(passed: list[tuple[float, int]]) -> int:
-    """Return the most bytes in any window of one second."""
+    """Return the highest number of bytes in any one-second window."""
     return max(_bytes_by_second(passed), default=0)
 
 
 def _bytes_by_second(passed: list[tuple[float, int]]) -> Iterator[int]:
-    """Yield the bytes of the second that ends with each record."""
+    """Yield the bytes of the one-second window ending at each record."""
     window: collections.deque[tuple[float, int]] = collections.deque()
     total = 0
     for at, size in passed:
--- a/standins/memorystore.py
+++ b/standins/memorystore.py
@@ -1,7 +1,7 @@
-"""In-memory key-value store with faults, for tests without a process.
+"""In-process client of the stand-in key-value store, with fault injection.
 
 Several clients share one `Platform`. Each client counts its calls, so that a
-fault or another writer's work can be placed at any one of them.
+fault or a concurrent write can be injected at a given call.
 """
 
 import enum
@@ -14,12 +14,12 @@
 
 
 class Fault(enum.Enum):
-    """What happens to one write."""
+    """A fault of one write."""
 
     REFUSED = "refused"
     LOST_BEFORE = "lost before it took effect"
     LOST_AFTER = "lost after it took effect"
-    DELAYED = "takes effect when `deliver` is called"
+    DELAYED = "takes effect when `apply_delayed` is called"
 
 
 class MemoryStore:
@@ -29,11 +29,12 @@
     ----------
     platform : Platform
     write_faults : dict of int to Fault
-        By the position of the write among this client's writes, from 0.
+        Faults by 0-based position among this client's writes.
     failing_reads : set of int
-        Positions of reads that fail, among this client's reads.
+        0-based positions of the reads that fail, among this client's reads.
     before_call : dict of int to callable
-        Called before the call of this position: another client's work.
+        Functions called before the call at the given 0-based position,
+        such as a write of another client.
     """
 
     def __init__(
@@ -72,8 +73,8 @@
     def delete(self, key: str, *, cas: int) -> bool:
         return self._write(lambda: self.platform.delete(key, cas))
 
-    def deliver(self) -> None:
-        """Let delayed writes take effect, if their indexes still match."""
+    def apply_delayed(self) -> None:
+        """Apply delayed writes whose indexes still match."""
         for write in self._delayed:
             write()
         self._delayed = []
@@ -81,18 +82,18 @@
     def _begin(self) -> None:
         position = self.calls
         self.calls += 1
-        work = self.before_call.pop(position, None)
-        if work is not None:
-            work()
+        hook = self.before_call.pop(position, None)
+        if hook is not None:
+            hook()
         if self.platform.outage:
-            raise StoreUnavailable("outage")
+            raise StoreUnavailable("store outage")
 
     def _begin_read(self, key: str) -> None:
         self._begin()
         position = self.reads
         self.reads += 1
         if position in self.failing_reads:
-            raise StoreUnavailable(f"read {key}")
+            raise StoreUnavailable(f"injected fault of reading {key}")
 
     def _write(self, write: Callable[[], bool]) -> bool:
         self._begin()
@@ -102,9 +103,9 @@
             case None:
                 return write()
             case Fault.REFUSED:
-                raise StoreUnavailable("refused")
+                raise StoreUnavailable("injected fault: write refused")
             case Fault.LOST_AFTER:
                 write()
             case Fault.DELAYED:
                 self._delayed.append(write)
-        raise StoreAnswerLost("no answer")
+        raise StoreAnswerLost("injected fault: no response to write")
--- a/standins/metastore.py
+++ b/standins/metastore.py
@@ -1,8 +1,8 @@
-"""Stand-in of the platform's metadata store, with faults to switch on.
+"""Stand-in of the platform's metadata store, with fault injection.
 
-It speaks the calls that the adapter uses (one key space, one revision
-counter, watches, conditional writes) and can be down, slow, lose responses,
-forget its history and turn callers away.
+It implements the calls that the adapter uses (one key space, one revision
+counter, watches, conditional writes) and can hang, delay or lose responses,
+compact its event history and reject calls.
 """
 
 import asyncio
@@ -19,15 +19,17 @@
 from chiverun.integrations.asyncserver import ListenerState
 from chiverun.integrations.asyncserver import OutgoingResponse
 
-_PAGE = 50
+_PAGE_ITEMS = 50
 
 
 @dataclasses.dataclass(kw_only=True)
 class Faults:
-    """What goes wrong; `delay_s` is added to each response.
+    """Faults of calls.
 
-    With `refuse_with` every call gets that status; `silent` calls get no
-    response; `lose_writes` executes writes and gives no response.
+    `refuse_with` is the status of every call, unless 0; `silent` leaves
+    every call without a response; `delay_s` delays each response;
+    `lose_writes` is the number of writes that are applied without a
+    response.
     """
 
     refuse_with: int = 0
@@ -37,12 +39,12 @@
 
 
 class MetaStore:
-    """Items by key with the revisions of their last changes."""
+    """Items by key, each with the revision of its last change."""
 
     def __init__(self) -> None:
         self.items: dict[str, tuple[int, bytes]] = {}
         self.revision = 1
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.calls = 0
         self.faults = Faults()
         self._events: list[dict] = []
@@ -53,7 +55,7 @@
         return await listen(address, ListenerState(handler=self.handle))
 
     async def put(self, key: str, value: bytes) -> int:
-        """Write an item as an operator or a server does."""
+        """Write an item, as an operator or a server does."""
         async with self._changed:
             self._write(key, value)
             self._changed.notify_all()
@@ -66,23 +68,23 @@
             self._changed.notify_all()
 
     def forget_history(self) -> None:
-        """Drop all events so far: watches from before get 410."""
-        self.forgotten = self.revision
+        """Drop all events; watches from earlier revisions get status 410."""
+        self.compacted_revision = self.revision
         self._events.clear()
 
     async def handle(self, incoming: IncomingRequest) -> OutgoingResponse:
-        """Serve one call."""
+        """Handle one call."""
         self.calls += 1
         faults = self.faults
         if faults.silent:
             await asyncio.Event().wait()
         await asyncio.sleep(faults.delay_s)
         if faults.refuse_with:
-            return _answer(faults.refuse_with, {"error": "refused"})
+            return _response(faults.refuse_with, {"error": "refused"})
         parts = urlsplit(incoming.target)
         query = {
-            name: rows[0]
-            for name, rows in parse_qs(
+            name: values[0]
+            for name, values in parse_qs(
                 parts.query, keep_blank_values=True
             ).items()
         }
@@ -93,7 +95,7 @@
                 return await self._watch(query)
             case ("POST", "/-/kv-txn"):
                 return await self._txn(json.loads(incoming.body))
-        return _answer(404, {"error": "no such call"})
+        return _response(404, {"error": "no such call"})
 
     def _range(self, query: dict[str, str]) -> OutgoingResponse:
         after = query.get("after", "")
@@ -102,11 +104,11 @@
             for key in self.items
             if key.startswith(query["prefix"]) and key > after
         )
-        return _answer(
+        return _response(
             200,
             {
-                "items": [self._item(key) for key in keys[:_PAGE]],
-                "hasMore": len(keys) > _PAGE,
+                "items": [self._item(key) for key in keys[:_PAGE_ITEMS]],
+                "hasMore": len(keys) > _PAGE_ITEMS,
                 "storeRevision": self.revision,
             },
         )
@@ -114,11 +116,11 @@
     async def _watch(self, query: dict[str, str]) -> OutgoingResponse:
         after = int(query["after"])
         wait_s = int(query["waitMs"]) / 1000.0
-        if after < self.forgotten:
-            return _answer(410, {"error": "history gone"})
+        if after < self.compacted_revision:
+            return _response(410, {"error": "history gone"})
         async with self._changed:
-            # In a task of its own, as by asyncio.wait_for, a cancelled wait
-            # may take the lock back after this one has given it up.
+            # asyncio.wait_for would run the wait in a separate task, which
+            # may acquire the lock after this cancelled call releases it.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait_s):
                     await self._changed.wait_for(lambda: self.revision > after)
@@ -128,13 +130,15 @@
             if event["revision"] > after
             and event["key"].startswith(query["prefix"])
         ]
-        return _answer(200, {"events": events, "storeRevision": self.revision})
+        return _response(
+            200, {"events": events, "storeRevision": self.revision}
+        )
 
     async def _txn(self, body: dict) -> OutgoingResponse:
         for row in body["expectedRev"]:
             revision, _ = self.items.get(row["key"], (0, b""))
             if revision != row["revision"]:
-                return _answer(412, {"items": []})
+                return _response(412, {"items": []})
         async with self._changed:
             for row in body["writes"]:
                 self._write(row["key"], base64.b64decode(row["value"]))
@@ -144,7 +148,7 @@
         if self.faults.lose_writes:
             self.faults.lose_writes -= 1
             await asyncio.Event().wait()
-        return _answer(200, {"revision": self.revision})
+        return _response(200, {"revision": self.revision})
 
     def _write(self, key: str, value: bytes) -> None:
         self.revision += 1
@@ -170,7 +174,7 @@
         }
 
 
-def _answer(status: int, body: dict) -> OutgoingResponse:
+def _response(status: int, body: dict) -> OutgoingResponse:
     return OutgoingResponse(
         status=status,
         headers=[("Content-Type", "application/json")],
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,18 +1,20 @@
-"""Stand-in of the platform: key-value store and lagging instance list.
+"""Stand-in of the platform: key-value store and delayed instance list.
 
 Serves the parts of the published Consul HTTP interface that chiverun uses.
-Faults are switched on by ``POST /admin`` with a JSON object:
+``POST /admin`` injects faults with a JSON object:
 
 ``outage``
-    true: calls are refused by closing the connection; waiting reads too.
+    if true, connections of all calls are closed, blocking reads included.
 ``latency_ms``
-    added to each call.
+    delay of each call.
 ``lose_answers``
-    number of following writes that take effect but get no answer.
+    number of next writes that are applied without a response.
 ``save`` / ``restore``
-    keep a copy of the data / go back to it (a store restored from backup).
+    copy the data / restore the copy, as a store restored from a backup.
 ``leaving``
     names that the instance list shows as leaving after ``lag_s``.
+``services``
+    instances of the instance list, by service.
 """
 
 import argparse
@@ -29,8 +31,6 @@
 from standins.web import serve_in_thread
 from standins.web import Server
 
-_RATE_WINDOW_S = 1.0
-
 
 class Platform:
     """Data and faults of the stand-in."""
@@ -38,11 +38,11 @@
     def __init__(self, *, lag_s: float = 5.0) -> None:
         self.changed = threading.Condition()
         self.data: dict[str, tuple[bytes, int]] = {}
-        # Monotonic time of each key's last write, the same in all processes
-        # of a machine.
+        # Time of each key's last write, by the monotonic clock that all
+        # processes of a machine share.
         self.written_at: dict[str, float] = {}
         self.index = 10
-        self.saved: tuple[dict, int] | None = None
+        self.backup: tuple[dict, int] | None = None
         self.outage = False
         self.latency_ms = 0.0
         self.lose_answers = 0
@@ -54,21 +54,21 @@
     def get(
         self, key: str, index: int, wait_s: float
     ) -> tuple[bytes, int] | None:
-        """Read a key, waiting until its index is past `index`."""
+        """Read a key; wait up to `wait_s` while its index equals `index`."""
         deadline = time.monotonic() + wait_s
         with self.changed:
             while index:
                 item = self.data.get(key)
-                left = deadline - time.monotonic()
-                if self.outage or left <= 0:
+                remaining_s = deadline - time.monotonic()
+                if self.outage or remaining_s <= 0:
                     break
                 if item is None or item[1] != index:
                     break
-                self.changed.wait(left)
+                self.changed.wait(remaining_s)
             return self.data.get(key)
 
     def put(self, key: str, value: bytes, cas: int | None) -> bool:
-        """Write a key if its index is `cas`; 0 creates only."""
+        """Write a key if its index is `cas`; 0 creates, None always writes."""
         with self.changed:
             current = self.data.get(key)
             if cas is not None and cas != (current[1] if current else 0):
@@ -80,7 +80,7 @@
             return True
 
     def delete(self, key: str, cas: int | None) -> bool:
-        """Delete a key if its index is `cas`."""
+        """Delete a key if its index is `cas` or `cas` is None."""
         with self.changed:
             current = self.data.get(key)
             if current is None or (cas is not None and cas != current[1]):
@@ -89,24 +89,24 @@
             self.changed.notify_all()
             return True
 
-    def admin(self, order: dict[str, Any]) -> None:
-        """Switch faults."""
+    def admin(self, request: dict[str, Any]) -> None:
+        """Apply an ``/admin`` request."""
         with self.changed:
             for name in ("outage", "latency_ms", "lose_answers", "lag_s"):
-                if name in order:
-                    setattr(self, name, order[name])
-            if order.get("save"):
-                self.saved = (copy.deepcopy(self.data), self.index)
-            if order.get("restore") and self.saved:
-                self.data = copy.deepcopy(self.saved[0])
-            for name in order.get("leaving", ()):
+                if name in request:
+                    setattr(self, name, request[name])
+            if request.get("save"):
+                self.backup = (copy.deepcopy(self.data), self.index)
+            if request.get("restore") and self.backup:
+                self.data = copy.deepcopy(self.backup[0])
+            for name in request.get("leaving", ()):
                 self.leaving[name] = time.monotonic() + self.lag_s
-            for service, instances in order.get("services", {}).items():
+            for service, instances in request.get("services", {}).items():
                 self.services[service] = instances
             self.changed.notify_all()
 
-    def critical(self) -> list[dict[str, str]]:
-        """Return the checks of leaving instances, as `lag_s` ago."""
+    def critical_checks(self) -> list[dict[str, str]]:
+        """Return the checks of instances that were leaving `lag_s` ago."""
         now = time.monotonic()
         return [
             {"ServiceID": name, "ServiceName": service, "Status": "critical"}
@@ -116,8 +116,8 @@
         ]
 
 
-def _kind(method: str, path: str) -> str:
-    """Return what a call is counted as: method and kind of key."""
+def _call_label(method: str, path: str) -> str:
+    """Return the label that a call is counted under: method and key type."""
     return " ".join([method, *path.split("/")[2:5]])
 
 
@@ -126,12 +126,12 @@
 
     class PlatformHandler(Handler):
         def _begin(self) -> tuple[str, dict[str, str]] | None:
-            """Count the call and apply outage and latency."""
+            """Count the call; return path and query, or None in an outage."""
             parts = urllib.parse.urlsplit(self.path)
             query = dict(
                 urllib.parse.parse_qsl(parts.query, keep_blank_values=True)
             )
-            platform.calls[_kind(self.command, parts.path)] += 1
+            platform.calls[_call_label(self.command, parts.path)] += 1
             if platform.outage:
                 self.close_connection = True
                 self.connection.close()
@@ -147,12 +147,12 @@
             if self.path == "/admin/written":
                 self.reply_json(dict(platform.written_at))
                 return
-            begun = self._begin()
-            if begun is None:
+            call = self._begin()
+            if call is None:
                 return
-            path, query = begun
+            path, query = call
             if path == "/v1/health/state/critical":
-                self.reply_json(platform.critical())
+                self.reply_json(platform.critical_checks())
                 return
             key = path.removeprefix("/v1/kv/")
             if "keys" in query:
@@ -187,18 +187,18 @@
             self._write(platform.delete)
 
         def _write(self, write) -> None:
-            begun = self._begin()
-            if begun is None:
+            call = self._begin()
+            if call is None:
                 return
-            path, query = begun
+            path, query = call
             cas = int(query["cas"]) if "cas" in query else None
-            done = write(path.removeprefix("/v1/kv/"), cas)
-            if platform.lose_answers > 0 and done:
+            applied = write(path.removeprefix("/v1/kv/"), cas)
+            if platform.lose_answers > 0 and applied:
                 platform.lose_answers -= 1
                 self.close_connection = True
                 self.connection.close()
                 return
-            self.reply(200, b"true" if done else b"false")
+            self.reply(200, b"true" if applied else b"false")
 
         def do_POST(self) -> None:
             platform.admin(json.loads(self.body()))
@@ -208,12 +208,12 @@
 
 
 def start(address: tuple[str, int], platform: Platform) -> Server:
-    """Serve a platform on a thread."""
+    """Serve a platform on a background thread."""
     return serve_in_thread(address, make_handler(platform))
 
 
 def main() -> None:
-    """Run the stand-in until it is ended."""
+    """Run the stand-in until the process is killed."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--listen", required=True)
     parser.add_argument("--lag", type=float, default=5.0)
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,12 +1,12 @@
-"""A plain byte relay that adds latency and cuts zones off from each other.
+"""TCP relay that adds latency and partitions zones from each other.
 
 Reads a JSON file with a list of ``{listen, target, latency_ms, source,
-destination}``. Commands are lines on the control address: ``cut A B`` stops
-all bytes between zones A and B and closes their connections, ``heal A B``
-lets them pass again; ``*`` stands for every other zone.
+destination}``. Commands are lines on the control address: ``cut A B`` blocks
+all traffic between zones A and B and closes their connections, ``heal A B``
+unblocks it; ``*`` as B matches every other zone.
 
-With ``--log`` the bytes passed on are written as JSON lines, summed over
-short buckets of time for each pair of zones.
+With ``--log`` the relayed bytes of each pair of zones are written as JSON
+lines, one for each bucket of `BUCKET_S`.
 """
 
 import argparse
@@ -16,26 +16,26 @@
 import time
 from typing import TextIO
 
-_CHUNK = 65536
+_CHUNK_BYTES = 65536
 BUCKET_S = 0.05
 
 
 class Relay:
-    """Routes of the relay and the pairs of zones that are cut."""
+    """Open connections, relayed bytes and partitioned pairs of zones."""
 
     def __init__(self) -> None:
-        self.cuts: set[tuple[str, str]] = set()
+        self.blocked_pairs: set[tuple[str, str]] = set()
         self.connections: dict[asyncio.StreamWriter, tuple[str, str]] = {}
-        self.passed: collections.Counter[tuple[str, str]] = (
+        self.byte_counts: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
 
     async def write_log(self, log: TextIO) -> None:
-        """Write the bytes passed on in each bucket of time."""
+        """Write the bytes relayed in each time bucket."""
         while True:
             await asyncio.sleep(BUCKET_S)
-            passed, self.passed = self.passed, collections.Counter()
-            for (source, destination), size in passed.items():
+            counts, self.byte_counts = self.byte_counts, collections.Counter()
+            for (source, destination), size in counts.items():
                 record = {
                     "t": time.time(),
                     "source": source,
@@ -46,9 +46,9 @@
             log.flush()
 
     def is_cut(self, source: str, destination: str) -> bool:
-        """Tell whether no byte may pass between two zones."""
+        """Return whether traffic between two zones is blocked."""
         return any(
-            pair in self.cuts
+            pair in self.blocked_pairs
             for pair in (
                 (source, destination),
                 (destination, source),
@@ -58,21 +58,21 @@
         )
 
     def cut(self, first: str, second: str) -> None:
-        """Cut two zones off and close their connections."""
-        self.cuts.add((first, second))
+        """Block traffic between two zones and close their connections."""
+        self.blocked_pairs.add((first, second))
         for writer, (source, destination) in list(self.connections.items()):
             if self.is_cut(source, destination):
                 writer.transport.abort()
 
     def heal(self, first: str, second: str) -> None:
-        """Let bytes pass again."""
-        self.cuts.discard((first, second))
+        """Unblock traffic between two zones."""
+        self.blocked_pairs.discard((first, second))
 
     async def connect(self, route: dict, reader, writer) -> None:
         """Relay one connection."""
         pair = (route["source"], route["destination"])
         if self.is_cut(*pair):
-            # A partition drops packets: the caller sees no answer at all.
+            # A partition drops packets: the caller gets no response.
             await asyncio.sleep(30)
             writer.transport.abort()
             return
@@ -80,35 +80,35 @@
         latency_s = route["latency_ms"] / 1000.0
         try:
             await asyncio.sleep(latency_s)
-            up_reader, up_writer = await asyncio.open_connection(
+            upstream_reader, upstream_writer = await asyncio.open_connection(
                 host, int(port)
             )
         except OSError:
             writer.transport.abort()
             return
         self.connections[writer] = pair
-        self.connections[up_writer] = pair
+        self.connections[upstream_writer] = pair
         try:
             await asyncio.gather(
-                self._copy(reader, up_writer, latency_s, pair),
-                self._copy(up_reader, writer, latency_s, pair[::-1]),
+                self._copy(reader, upstream_writer, latency_s, pair),
+                self._copy(upstream_reader, writer, latency_s, pair[::-1]),
             )
         finally:
-            for end in (writer, up_writer):
-                self.connections.pop(end, None)
-                end.close()
+            for one_writer in (writer, upstream_writer):
+                self.connections.pop(one_writer, None)
+                one_writer.close()
 
     async def _copy(self, reader, writer, latency_s: float, pair) -> None:
-        """Copy bytes and count them for a pair of zones."""
+        """Copy bytes and add them to the count of a pair of zones."""
 
         def count(size: int) -> None:
-            self.passed[pair] += size
+            self.byte_counts[pair] += size
 
         await _copy(reader, writer, latency_s, count)
 
 
 async def _copy(reader, writer, latency_s: float, count) -> None:
-    """Copy bytes, each chunk after the latency, without losing rate."""
+    """Copy bytes, delaying each chunk without reducing the throughput."""
     queue: asyncio.Queue = asyncio.Queue()
     loop = asyncio.get_running_loop()
 
@@ -127,7 +127,7 @@
     data = b"x"
     while data:
         try:
-            data = await reader.read(_CHUNK)
+            data = await reader.read(_CHUNK_BYTES)
         except OSError:
             data = b""
         queue.put_nowait((loop.time() + latency_s, data))
@@ -137,7 +137,7 @@
         writer.transport.abort()
 
 
-async def _control(relay: Relay, reader, writer) -> None:
+async def _handle_commands(relay: Relay, reader, writer) -> None:
     while line := await reader.readline():
         words = line.decode().split()
         match words:
@@ -151,9 +151,9 @@
 
 
 async def serve(routes: list[dict], control: str, log: TextIO) -> None:
-    """Serve all routes until ended."""
+    """Serve all routes until the task is cancelled."""
     relay = Relay()
-    writing = asyncio.ensure_future(relay.write_log(log))
+    log_task = asyncio.ensure_future(relay.write_log(log))
     servers = []
     for route in routes:
         host, _, port = route["listen"].rpartition(":")
@@ -167,14 +167,14 @@
     host, _, port = control.rpartition(":")
     servers.append(
         await asyncio.start_server(
-            lambda r, w: _control(relay, r, w), host, int(port)
+            lambda r, w: _handle_commands(relay, r, w), host, int(port)
         )
     )
-    await asyncio.gather(writing, *(s.serve_forever() for s in servers))
+    await asyncio.gather(log_task, *(s.serve_forever() for s in servers))
 
 
 def main() -> None:
-    """Run the relay until it is ended."""
+    """Run the relay until the process is killed."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--routes", required=True)
     parser.add_argument("--control", required=True)
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -1,4 +1,4 @@
-"""Stand-in of a backend server of the platform, with faults to switch on."""
+"""Stand-in of a backend server of the platform, with fault injection."""
 
 import asyncio
 import collections
@@ -11,10 +11,11 @@
 
 @dataclasses.dataclass(kw_only=True)
 class UpstreamFaults:
-    """What goes wrong with responses.
+    """Faults of responses.
 
-    `answer` replaces the bytes of responses; `reset` closes the connection
-    in place of one; `extra` sends a further response behind each one.
+    `answer` replaces the raw bytes of a response; `reset` closes the
+    connection without a response; `shed` rejects requests as not run;
+    `extra` sends an unsolicited second response after each response.
     """
 
     answer: bytes | None = None
@@ -26,7 +27,7 @@
 
 
 class Upstream:
-    """Runs requests, counts them by id and echoes their ids."""
+    """Server that counts requests by id and echoes each id."""
 
     def __init__(
         self, *, name: str, service: str, address: Address, zone: str
@@ -42,7 +43,7 @@
         self._server: asyncio.Server | None = None
 
     def entry(self, **changes) -> bytes:
-        """Return what the server registers of itself."""
+        """Return the server's registration, with the given fields replaced."""
         body = {
             "service": self.service,
             "address": self.address,
@@ -62,7 +63,7 @@
         self._server = await asyncio.start_server(self._serve, host, port)
 
     def stop(self) -> None:
-        """Stop to listen; open connections go on."""
+        """Stop listening; open connections stay open."""
         if self._server is not None:
             self._server.close()
 
@@ -93,8 +94,8 @@
             writer.write(_response(421, request_id, b"", b""))
             return True
         if self.faults.shed:
-            mark = b"X-Chiverun-Not-Run: 1\r\n"
-            writer.write(_response(503, request_id, b"", mark))
+            not_run = b"X-Chiverun-Not-Run: 1\r\n"
+            writer.write(_response(503, request_id, b"", not_run))
             return True
         self.runs[request_id] += 1
         self.targets.append(request_line.split(" ")[1])
@@ -118,16 +119,16 @@
     async def _work(
         self, reader: asyncio.StreamReader, request_id: str
     ) -> bool:
-        """Take the time of the work; False if the caller left."""
+        """Wait `delay_s`; return False if the caller closes the connection."""
         if not self.faults.delay_s:
             return True
         try:
-            rest = await asyncio.wait_for(reader.read(1), self.faults.delay_s)
+            data = await asyncio.wait_for(reader.read(1), self.faults.delay_s)
         except TimeoutError:
             return True
-        if not rest:
+        if not data:
             self.cancelled.append(request_id)
-        return bool(rest)
+        return bool(data)
 
 
 def _response(
--- a/standins/web.py
+++ b/standins/web.py
@@ -1,4 +1,4 @@
-"""A threaded HTTP server for stand-ins, on the standard library."""
+"""A threaded HTTP server for stand-ins, based on the standard library."""
 
 import http.server
 import json
@@ -8,27 +8,27 @@
 
 
 class Server(socketserver.ThreadingMixIn, http.server.HTTPServer):
-    """One thread for each connection; threads end with the process."""
+    """Serves each connection on its own daemon thread."""
 
     daemon_threads = True
     allow_reuse_address = True
     request_queue_size = 256
 
     def handle_error(self, request, client_address) -> None:
-        """Drop errors of connections that the other side closed."""
+        """Ignore errors of connections that the peer closed."""
 
 
 class Handler(http.server.BaseHTTPRequestHandler):
-    """Base of the stand-ins' request handlers."""
+    """Base class of the stand-ins' request handlers."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
 
     def log_message(self, format: str, *args: Any) -> None:
-        """Print nothing for each request."""
+        """Disable the per-request log."""
 
     def body(self) -> bytes:
-        """Read the request's body."""
+        """Read the request body."""
         return self.rfile.read(int(self.headers.get("Content-Length", 0)))
 
     def reply(
--- a/tests/adapter/test_metastore.py
+++ b/tests/adapter/test_metastore.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in for the platform's store."""
+"""Tests of the stand-in of the platform's metadata store."""
 
 import asyncio
 import unittest
@@ -21,7 +21,7 @@
     async def test_cancelled_watch_releases_the_lock(self) -> None:
         """Guards against a lock that a cancelled watch does not release.
 
-        All later writes and watches waited for that lock in soak seed 124.
+        In soak seed 124 all later writes and watches blocked on that lock.
         """
         for steps in range(12):
             store = MetaStore()
--- a/tests/core/test_ticketlog.py
+++ b/tests/core/test_ticketlog.py
@@ -279,7 +279,7 @@
     if has_rival:
         rival, _ = make_log(platform, log_type)
         reported["y"] = outcome(rival, ticket(64, "b"), "y")[0]
-    store.deliver()
+    store.apply_delayed()
     if not is_report_correct(platform, reported, 64):
         return False
     repeat, _ = make_log(platform, log_type)
@@ -336,7 +336,7 @@
                     head = make_log(platform)[0].head().entry.number
                     if head == 90:
                         self.assertEqual(90, log.load().number)
-            store.deliver()
+            store.apply_delayed()
             self.assertEqual(state.digest, log.load().digest)
 
     def test_left_over_entry_is_replaced(self):
@@ -433,7 +433,7 @@
             log, store = make_log(platform, write_faults=faults)
             while outcome(log, ticket(number), f"s{number}")[0]:
                 pass
-            store.deliver()
+            store.apply_delayed()
             self.assertLessEqual(len(platform.data), KEYS_MAX + 64)
         log, _ = make_log(platform)
         self.assertEqual(700, log.load().number)
@@ -509,7 +509,7 @@
             code = ResultCode.STORE_UNAVAILABLE
         reported.append((code, number, f"s{index}"))
         if step["deliver"]:
-            store.deliver()
+            store.apply_delayed()
     # The model is a list of heads with consecutive numbers.
     if [e.number for e in heads] != list(range(1, len(heads) + 1)):
         return "a number was accepted twice or left out"
