--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,16 +1,20 @@
-"""Stand-in of a backend server, with its own log of what it ran.
-
-``GET /healthz`` and ``GET /load`` are its endpoints; any other path is work.
-``POST /admin`` switches faults: ``slow`` (factor of the service time),
-``draining`` (sheds work and says so), ``draining_work`` (only sheds work),
-``draining_health`` (only says so), ``reset_after`` (number of following
-requests that run and then reset), ``short_answers`` (number of answers cut in
-the middle), ``dead`` (closes each connection), ``wrong_id``, ``lag_s`` of the
-load endpoint, ``answer_bytes`` added to each answer.
+"""Stand-in of a backend server, with its own log of the requests it runs.
+
+``GET /healthz`` and ``GET /load`` are its endpoints; any other path is a
+request to run. ``POST /admin`` injects faults: ``slow`` (factor of the
+service time), ``draining`` (sheds requests and reports draining at
+``/healthz``), ``draining_work`` (only sheds requests), ``draining_health``
+(only reports draining), ``reset_after`` (number of next requests that run,
+after which the connection is reset), ``short_answers`` (number of next
+responses that are truncated), ``dead`` (resets each connection), ``wrong_id``
+(number of next responses with another request's id), ``lag_s`` (delay of the
+load that ``/load`` reports), ``answer_bytes`` (padding of each response),
+``cold`` (whether the first requests run slower).
 
 The log has one JSON line for each event: ``start`` when a request begins to
-run, ``end`` when its answer is ready, ``cancel``, ``shed``, and ``over`` when
-a request arrives while all slots are busy.
+run, ``end`` when its response is ready, ``cancel`` when the caller closes the
+connection, ``shed``, and ``over`` when a request arrives while all slots are
+busy.
 """
 
 import argparse
@@ -30,7 +34,7 @@
 from standins.web import serve_in_thread
 from standins.web import Server
 
-COLD_FACTOR = 3.0
+COLD_SLOWDOWN = 3.0
 COLD_REQUESTS = 20
 
 
@@ -70,12 +74,12 @@
         }
         self.events: list[dict[str, Any]] = []
         self._log = log
-        self._loads: collections.deque[tuple[float, int]] = collections.deque(
-            maxlen=1000
+        self._load_samples: collections.deque[tuple[float, int]] = (
+            collections.deque(maxlen=1000)
         )
 
-    def note(self, event: str, **fields: Any) -> None:
-        """Write an event to the log."""
+    def log_event(self, event: str, **fields: Any) -> None:
+        """Write an event to the log, or append it to `events` without one."""
         record = {
             "t": time.time(),
             "event": event,
@@ -89,50 +93,50 @@
             self._log.write(json.dumps(record) + "\n")
             self._log.flush()
 
-    def take_fault(self, name: str) -> bool:
-        """Use up one of a number of faults."""
+    def consume_fault(self, name: str) -> bool:
+        """Decrement a fault counter; return False if it is 0."""
         with self.lock:
             if self.faults[name] <= 0:
                 return False
             self.faults[name] -= 1
             return True
 
-    def begin(self, fields: dict[str, Any]) -> str | None:
-        """Take a slot; return the reason if the request is shed."""
+    def acquire_slot(self, fields: dict[str, Any]) -> str | None:
+        """Acquire a slot; return the reason if the request is shed."""
         with self.lock:
             if self.faults["draining"] or self.faults["draining_work"]:
-                self.note("shed", reason="draining", **fields)
+                self.log_event("shed", reason="draining", **fields)
                 return "draining"
             if self.running >= self.slots:
-                self.note("over", running=self.running, **fields)
+                self.log_event("over", running=self.running, **fields)
                 return "overload"
             self.running += 1
             self.served += 1
-            self._loads.append((time.monotonic(), self.running))
-            self.note("start", running=self.running, **fields)
+            self._load_samples.append((time.monotonic(), self.running))
+            self.log_event("start", running=self.running, **fields)
             return None
 
-    def end(self, event: str, fields: dict[str, Any]) -> None:
-        """Free a slot."""
+    def release_slot(self, event: str, fields: dict[str, Any]) -> None:
+        """Release a slot and log the event."""
         with self.lock:
             self.running -= 1
-            self._loads.append((time.monotonic(), self.running))
-            self.note(event, **fields)
+            self._load_samples.append((time.monotonic(), self.running))
+            self.log_event(event, **fields)
 
     def duration_s(self, is_long: bool) -> float:
-        """Return how long the next request runs."""
+        """Return the service time of a request that has acquired a slot."""
         base_ms = self.long_ms if is_long else self.service_ms
         factor = self.faults["slow"]
         if self.faults["cold"] and self.served <= COLD_REQUESTS:
-            factor *= COLD_FACTOR
+            factor *= COLD_SLOWDOWN
         return base_ms * factor / 1000.0
 
     def reported_load(self) -> int:
-        """Return the load as it was `lag_s` ago."""
-        then = time.monotonic() - self.faults["lag_s"]
+        """Return the number of requests that were running `lag_s` ago."""
+        sampled_at = time.monotonic() - self.faults["lag_s"]
         load = 0
-        for at, running in list(self._loads):
-            if at > then:
+        for at, running in list(self._load_samples):
+            if at > sampled_at:
                 break
             load = running
         return load
@@ -144,20 +148,20 @@
     class BackendHandler(Handler):
         def do_GET(self) -> None:
             if self.path == "/healthz":
-                self._health()
+                self._handle_health()
             elif self.path == "/load":
                 self.reply_json({"running": backend.reported_load()})
             else:
-                self._work()
+                self._handle_request()
 
         def do_POST(self) -> None:
             if self.path == "/admin":
                 backend.faults.update(json.loads(self.body()))
                 self.reply_json({})
             else:
-                self._work()
+                self._handle_request()
 
-        def _health(self) -> None:
+        def _handle_health(self) -> None:
             if backend.faults["dead"]:
                 self._reset()
             elif (
@@ -167,7 +171,7 @@
             else:
                 self.reply_json({"state": "active"})
 
-        def _work(self) -> None:
+        def _handle_request(self) -> None:
             body = self.body()
             if backend.faults["dead"]:
                 self._reset()
@@ -177,10 +181,10 @@
                 self.headers.get("X-Deadline-Epoch-Ms", "0") or 0
             )
             if deadline_ms and time.time() * 1000 >= deadline_ms:
-                backend.note("shed", reason="deadline", **fields)
+                backend.log_event("shed", reason="deadline", **fields)
                 self._shed("deadline")
                 return
-            reason = backend.begin(fields)
+            reason = backend.acquire_slot(fields)
             if reason is not None:
                 self._shed(reason)
                 return
@@ -191,40 +195,42 @@
             until = time.time() + backend.duration_s(is_long)
             if deadline_ms:
                 until = min(until, deadline_ms / 1000.0)
-            if not self._wait(until):
-                backend.end("cancel", fields)
+            if not self._wait_until(until):
+                backend.release_slot("cancel", fields)
                 self.close_connection = True
                 return
-            backend.end("end", fields)
-            self._answer(fields, body)
+            backend.release_slot("end", fields)
+            self._respond(fields, body)
 
-        def _answer(self, fields, body: bytes) -> None:
-            if backend.take_fault("reset_after"):
+        def _respond(self, fields, body: bytes) -> None:
+            if backend.consume_fault("reset_after"):
                 self._reset()
                 return
             request_id = self.headers.get("X-Request-Id", "")
-            if backend.take_fault("wrong_id"):
+            if backend.consume_fault("wrong_id"):
                 request_id = "another"
-            answer = json.dumps(
+            response = json.dumps(
                 {
                     "server": backend.name,
                     "token": fields["token"],
                     "padding": "x" * backend.faults["answer_bytes"],
                 }
             ).encode()
-            if backend.take_fault("short_answers"):
+            if backend.consume_fault("short_answers"):
                 self.wfile.write(
                     b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"
-                    + answer
+                    + response
                 )
                 self._reset()
                 return
-            self.reply(200, answer, {"X-Request-Id": request_id})
+            self.reply(200, response, {"X-Request-Id": request_id})
 
-        def _wait(self, until: float) -> bool:
-            """Run for a while; False if the caller closed the connection."""
-            while (left := until - time.time()) > 0:
-                readable, _, _ = select.select([self.connection], [], [], left)
+        def _wait_until(self, until: float) -> bool:
+            """Wait; return False if the caller closes the connection."""
+            while (remaining_s := until - time.time()) > 0:
+                readable, _, _ = select.select(
+                    [self.connection], [], [], remaining_s
+                )
                 if readable:
                     try:
                         peeked = self.connection.recv(1, socket.MSG_PEEK)
@@ -232,7 +238,7 @@
                         return False
                     if not peeked:
                         return False
-                    time.sleep(min(left, 0.01))
+                    time.sleep(min(remaining_s, 0.01))
             return True
 
         def _fields(self) -> dict[str, Any]:
@@ -254,7 +260,7 @@
             )
 
         def _reset(self) -> None:
-            """Close the connection with a reset."""
+            """Reset the connection; a linger time of 0 sends RST."""
             self.close_connection = True
             self.connection.setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
@@ -265,12 +271,12 @@
 
 
 def start(address: tuple[str, int], backend: Backend) -> Server:
-    """Serve a backend server on a thread."""
+    """Serve a backend server on a background thread."""
     return serve_in_thread(address, make_handler(backend))
 
 
 def main() -> None:
-    """Run the stand-in until it is ended."""
+    """Run the stand-in until SIGTERM."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--listen", required=True)
     parser.add_argument("--name", required=True)
@@ -291,9 +297,9 @@
             log=log,
         )
         start((host, int(port)), backend)
-        done = threading.Event()
-        signal.signal(signal.SIGTERM, lambda *_: done.set())
-        done.wait()
+        stopped = threading.Event()
+        signal.signal(signal.SIGTERM, lambda *_: stopped.set())
+        stopped.wait()
 
 
 if __name__ == "__main__":
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -1,9 +1,9 @@
-"""Stand-in of callers: they cache look-up answers and send a load.
+"""Stand-in of callers: it sends load to instances that it looks up.
 
-Each caller thread belongs to a region, asks an instance of it where to go,
-and keeps the answer for its time to live. A request that may not be repeated
-is tried again through another instance with the same key, as callers do.
-One JSON line is written for each request.
+Each caller thread belongs to a region, looks up entry addresses at an
+instance of that region and caches them for their time to live. A request
+that is not repeatable is retried through another instance with the same
+idempotency key. One JSON line is written for each request.
 """
 
 import argparse
@@ -18,12 +18,12 @@
 import urllib3
 from urllib3.exceptions import HTTPError
 
-_TRIES = 3
+_ATTEMPTS_MAX = 3
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Kind:
-    """A kind of request and its weight in the mix."""
+class RequestKind:
+    """A type of request and its weight in the load."""
 
     method: str
     path: str
@@ -33,7 +33,7 @@
 
 
 class Log:
-    """Writes JSON lines from several threads."""
+    """Writes JSON lines to a file; safe for use by several threads."""
 
     def __init__(self, *, path: str) -> None:
         self._stream = open(path, "a", encoding="utf-8")  # noqa: SIM115
@@ -47,7 +47,7 @@
 
 
 class Caller:
-    """One caller: a thread that sends requests one after another."""
+    """A caller, which sends its requests one after another."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         region: str,
         client: str,
         lookups: list[str],
-        kinds: list[Kind],
+        kinds: list[RequestKind],
         rate_per_s: float,
         rng: random.Random,
         log: Log,
@@ -67,19 +67,19 @@
         self._rate_per_s = rate_per_s
         self._rng = rng
         self._log = log
-        # An instance tells a caller's region by the address it comes from.
+        # An instance derives a caller's region from its source address.
         source = (client, 0) if client.startswith("127.") else None
         self._http = urllib3.PoolManager(
             num_pools=32, maxsize=2, retries=False, source_address=source
         )
         self._entries: list[str] = []
-        self._entries_until = 0.0
+        self._entries_expire_at = 0.0
         self._keys: list[str] = []
-        self._keys_entry = ""
-        self._keys_until = 0.0
+        self._keys_issuer = ""
+        self._keys_expire_at = 0.0
 
     def run(self, until: float) -> None:
-        """Send requests at random times until the given monotonic time."""
+        """Send requests as a Poisson process until a monotonic time."""
         due = time.monotonic()
         while time.monotonic() < until:
             due += self._rng.expovariate(self._rate_per_s)
@@ -87,9 +87,9 @@
             kind = self._rng.choices(
                 self._kinds, [k.weight for k in self._kinds]
             )[0]
-            self._request(kind)
+            self._run_request(kind)
 
-    def _request(self, kind: Kind) -> None:
+    def _run_request(self, kind: RequestKind) -> None:
         token = uuid.uuid4().hex
         started = time.monotonic()
         record = {
@@ -104,34 +104,36 @@
             "outcomes": [],
             "cuts": 0,
         }
-        key = "" if kind.is_repeatable else self._take_key()
+        key = "" if kind.is_repeatable else self._next_key()
         if not kind.is_repeatable and not key:
             record["outcomes"].append("not-run")
         else:
-            self._tries(kind, token, key, record)
+            self._send_with_retries(kind, token, key, record)
         record["ms"] = (time.monotonic() - started) * 1000
         self._log.write(record)
 
-    def _tries(self, kind: Kind, token: str, key: str, record) -> None:
-        for attempt in range(_TRIES):
-            entry = self._entry(attempt)
+    def _send_with_retries(
+        self, kind: RequestKind, token: str, key: str, record
+    ) -> None:
+        for attempt in range(_ATTEMPTS_MAX):
+            entry = self._select_entry(attempt)
             if key and attempt == 0:
-                # Its issuer is the one that may run it.
-                entry = self._keys_entry
+                # The issuer of the key is the instance that may run it.
+                entry = self._keys_issuer
             if not entry:
                 record["tries"].append(time.time())
                 record["outcomes"].append("not-run")
                 continue
             record["tries"].append(time.time())
-            outcome = self._try(entry, kind, token, key, record)
+            outcome = self._send(entry, kind, token, key, record)
             record["outcomes"].append(outcome)
             record["last_entry"] = entry
             if outcome == "answered":
                 return
-            # Another instance is asked next; its answer may not be cached.
-            self._entries_until = 0.0
+            # The next attempt uses another instance and a new look-up.
+            self._entries_expire_at = 0.0
 
-    def _try(self, entry: str, kind: Kind, token, key, record) -> str:
+    def _send(self, entry: str, kind: RequestKind, token, key, record) -> str:
         headers = {
             "X-Deadline-Ms": str(kind.deadline_ms),
             "X-Try": str(len(record["tries"]) - 1),
@@ -159,18 +161,18 @@
         record.setdefault("codes", []).append(record["code"])
         record["status"] = resp.status
         if outcome == "answered" and resp.status == 200:
-            record["wrong"] = not _is_own(resp.data, token)
+            record["wrong"] = not _has_token(resp.data, token)
         return outcome
 
-    def _entry(self, attempt: int) -> str:
+    def _select_entry(self, attempt: int) -> str:
         now = time.monotonic()
-        if now >= self._entries_until:
-            self._look_up(now)
+        if now >= self._entries_expire_at:
+            self._refresh_entries(now)
         if not self._entries:
             return ""
         return self._entries[attempt % len(self._entries)]
 
-    def _look_up(self, now: float) -> None:
+    def _refresh_entries(self, now: float) -> None:
         for address in self._rng.sample(self._lookups, len(self._lookups)):
             try:
                 resp = self._http.request(
@@ -179,18 +181,18 @@
                     timeout=1.0,
                     retries=False,
                 )
-                answer = json.loads(resp.data)
+                payload = json.loads(resp.data)
             except (HTTPError, ValueError):
                 continue
             if resp.status == 200:
-                self._entries = answer["instances"]
-                self._entries_until = now + answer["ttl_s"]
+                self._entries = payload["instances"]
+                self._entries_expire_at = now + payload["ttl_s"]
                 return
 
-    def _take_key(self) -> str:
-        """Take an unused key; keys come in batches with a time to live."""
+    def _next_key(self) -> str:
+        """Return an unused key; keys are fetched in batches and expire."""
         now = time.monotonic()
-        if now >= self._keys_until:
+        if now >= self._keys_expire_at:
             self._keys = []
         if not self._keys:
             for address in self._rng.sample(self._lookups, len(self._lookups)):
@@ -202,17 +204,17 @@
                         retries=False,
                     )
                     if resp.status == 200:
-                        answer = json.loads(resp.data)
-                        self._keys = answer["keys"]
-                        self._keys_entry = answer["entry"]
-                        self._keys_until = now + answer["ttl_s"]
+                        payload = json.loads(resp.data)
+                        self._keys = payload["keys"]
+                        self._keys_issuer = payload["entry"]
+                        self._keys_expire_at = now + payload["ttl_s"]
                         break
                 except (HTTPError, ValueError):
                     continue
         return self._keys.pop() if self._keys else ""
 
 
-def _is_own(body: bytes, token: str) -> bool:
+def _has_token(body: bytes, token: str) -> bool:
     try:
         return json.loads(body)["token"] == token
     except (ValueError, KeyError):
@@ -220,7 +222,7 @@
 
 
 def main() -> None:
-    """Send load for the time given in the plan file."""
+    """Send the load of a plan file for the given time."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--plan", required=True)
     parser.add_argument("--seconds", type=float, required=True)
@@ -230,20 +232,20 @@
     with open(args.plan, encoding="utf-8") as stream:
         plan = json.load(stream)
     log = Log(path=args.log)
-    kinds = [Kind(**k) for k in plan["kinds"]]
+    kinds = [RequestKind(**k) for k in plan["kinds"]]
     until = time.monotonic() + args.seconds
     threads = []
-    for index, caller in enumerate(plan["callers"]):
-        one = Caller(
-            region=caller["region"],
-            client=caller["client"],
-            lookups=caller["lookups"],
+    for index, row in enumerate(plan["callers"]):
+        caller = Caller(
+            region=row["region"],
+            client=row["client"],
+            lookups=row["lookups"],
             kinds=kinds,
             rate_per_s=plan["rate_per_caller"],
             rng=random.Random(args.seed * 1000 + index),
             log=log,
         )
-        threads.append(threading.Thread(target=one.run, args=(until,)))
+        threads.append(threading.Thread(target=caller.run, args=(until,)))
     for thread in threads:
         thread.start()
     for thread in threads:
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -1,7 +1,7 @@
-"""Starts the processes of one deployment on loopback and stops them.
+"""Starts and stops the processes of one deployment on loopback.
 
-Used by the demo, by measurements and by tests of whole processes. It starts
-real processes and sends them signals; it simulates nothing.
+The demo, the measurements and the end-to-end tests use it. It starts real
+processes and sends them signals; nothing is simulated.
 """
 
 import contextlib
@@ -25,24 +25,24 @@
 _FIRST_OCTET = 20
 _LAST_OCTET = 199
 _LOCK_PORT = 6999
-_STOP_LIMIT_S = 40.0
+_STOP_TIMEOUT_S = 40.0
 
 
 class Cluster:
-    """The processes of one deployment, in a folder of their own.
+    """The processes of one deployment.
 
     Parameters
     ----------
     spec : Spec
     folder : Path
-        For settings, logs of backend servers and callers' records.
+        Folder for settings, backend servers' logs and callers' records.
     program : list of str
         Command that runs chiverun.
     service_ms, long_ms : float
         Service times of short and long requests at the backend servers.
     """
 
-    # Ports of instances that other zones reach through the relay.
+    # Ports of instances that other zones connect to through the relay.
     routed_ports: tuple[int, ...] = (
         deployment.ENTRY_PORT,
         deployment.FORWARD_PORT,
@@ -64,7 +64,7 @@
         self.service_ms = service_ms
         self.long_ms = long_ms
         self.processes: dict[str, subprocess.Popen] = {}
-        self._lock, self.network = _take_network()
+        self._lock, self.network = _reserve_network()
         self.env = {
             **os.environ,
             "PYTHONPATH": str(_ROOT),
@@ -74,11 +74,11 @@
         self.http = urllib3.PoolManager(num_pools=128, retries=False)
 
     def local(self, text: str) -> str:
-        """Move addresses of the committed files to this run's network."""
+        """Replace the network of the committed files by this run's network."""
         return text.replace(deployment.NETWORK, self.network)
 
     def prepare(self) -> None:
-        """Write settings, tickets and the relay's routes."""
+        """Write the settings, the tickets and the relay's routes."""
         source = deployment.ROOT / self.spec.name
         for path in source.rglob("*"):
             if path.is_file():
@@ -87,24 +87,26 @@
                 target.write_text(self.local(path.read_text()))
         routes = []
         for instance in deployment.instances(self.spec):
-            mapping = self._routes_from(instance, routes)
+            address_map = self._routes_from(instance, routes)
             path = self.folder / "instances" / f"{instance.name}.ini"
             with path.open("a") as stream:
-                stream.write(f"\n[network]\naddress_map = {mapping}\n")
+                stream.write(f"\n[network]\naddress_map = {address_map}\n")
         (self.folder / "routes.json").write_text(json.dumps(routes))
 
     def _routes_from(self, instance, routes: list[dict]) -> str:
-        """Add the relay's routes from an instance to other zones."""
+        """Add an instance's routes to other zones; return its address map."""
         zones = [zone for zone, _ in self.spec.zones()]
-        mapping = []
+        address_map = []
         others = deployment.instances(self.spec)
         source = zones.index(instance.zone)
-        number = int(instance.host.rpartition(".")[2])
+        host_number = int(instance.host.rpartition(".")[2])
         for index, other in enumerate(others):
             if other.zone == instance.zone:
                 continue
-            near = other.region == instance.region
-            relay = f"{self.network}{100 + source * 20 + number}.{index + 1}"
+            is_same_region = other.region == instance.region
+            relay = (
+                f"{self.network}{100 + source * 20 + host_number}.{index + 1}"
+            )
             for port in self.routed_ports:
                 announced = f"{self.local(other.host)}:{port}"
                 routes.append(
@@ -112,45 +114,47 @@
                         "listen": f"{relay}:{port}",
                         "target": announced,
                         "latency_ms": self.spec.zone_ms
-                        if near
+                        if is_same_region
                         else self.spec.region_ms,
                         "source": instance.zone,
                         "destination": other.zone,
                     }
                 )
-                mapping.append(f"{announced}={relay}:{port}")
-        self._route_to_store(instance, source, number, routes, mapping)
-        return ", ".join(mapping)
+                address_map.append(f"{announced}={relay}:{port}")
+        self._route_to_store(
+            instance, source, host_number, routes, address_map
+        )
+        return ", ".join(address_map)
 
     def _route_to_store(
-        self, instance, source: int, number: int, routes, mapping
+        self, instance, source: int, host_number: int, routes, address_map
     ) -> None:
-        """The store is reached through the relay too, so it can be cut."""
+        """Add the route to the store, so that a partition can include it."""
         store = self.local(deployment.STORE)
-        relay = f"{self.network}{100 + source * 20 + number}.250:8500"
-        near = instance.region == self.spec.regions[0]
+        relay = f"{self.network}{100 + source * 20 + host_number}.250:8500"
+        is_same_region = instance.region == self.spec.regions[0]
         routes.append(
             {
                 "listen": relay,
                 "target": store,
                 "latency_ms": self.spec.zone_ms
-                if near
+                if is_same_region
                 else self.spec.region_ms,
                 "source": instance.zone,
                 "destination": "platform",
             }
         )
-        mapping.append(f"{store}={relay}")
+        address_map.append(f"{store}={relay}")
 
     def start_standins(self) -> None:
-        """Start platform, relay and backend servers."""
-        self._python(
+        """Start the platform, the relay and the backend servers."""
+        self._start_module(
             "platform",
             "standins.platform",
             "--listen",
             self.local(deployment.STORE),
         )
-        self._python(
+        self._start_module(
             "relay",
             "standins.relay",
             "--routes",
@@ -169,7 +173,7 @@
 
     def start_server(self, server: deployment.ServerSpec) -> None:
         """Start one backend server."""
-        self._python(
+        self._start_module(
             server.name,
             "standins.backend",
             "--listen",
@@ -203,7 +207,7 @@
         path = self.folder / "instances" / f"{name}.ini"
         self._start(name, [*self.program, "serve", "--settings", str(path)])
 
-    def _python(self, name: str, module: str, *args: str) -> None:
+    def _start_module(self, name: str, module: str, *args: str) -> None:
         self._start(name, [sys.executable, "-m", module, *args])
 
     def _start(self, name: str, command: list[str]) -> None:
@@ -217,18 +221,18 @@
                 cwd=self.folder,
             )
 
-    def run(self, *args: str, limit_s: float = 30.0) -> tuple[int, str]:
-        """Run an operators' command; return its exit code and output."""
-        done = subprocess.run(
+    def run(self, *args: str, timeout_s: float = 30.0) -> tuple[int, str]:
+        """Run an operator command; return its exit code and output."""
+        completed = subprocess.run(
             [*self.program, *args],
             capture_output=True,
             text=True,
             env=self.env,
             cwd=self.folder,
-            timeout=limit_s,
+            timeout=timeout_s,
             check=False,
         )
-        return done.returncode, done.stdout + done.stderr
+        return completed.returncode, completed.stdout + completed.stderr
 
     def submit(self, ticket: str) -> tuple[int, str]:
         """Submit a ticket file of the deployment."""
@@ -241,7 +245,7 @@
         )
 
     def status(self, name: str) -> dict[str, Any] | None:
-        """Return an instance's status, None if it does not answer."""
+        """Return an instance's status, or None without a response."""
         instance = next(
             i for i in deployment.instances(self.spec) if i.name == name
         )
@@ -249,19 +253,19 @@
         return self.get_json(f"http://{address}/v1/status")
 
     def get_json(self, url: str) -> dict[str, Any] | None:
-        """Read a JSON document, None if there is no answer."""
+        """Return a JSON document, or None without a valid response."""
         try:
             resp = self.http.request("GET", url, timeout=2.0, retries=False)
             return json.loads(resp.data)
         except (HTTPError, ValueError):
             return None
 
-    def admin(self, address: str, **order: Any) -> None:
-        """Switch faults of a stand-in."""
+    def admin(self, address: str, **fields: Any) -> None:
+        """Send an ``/admin`` request, which sets faults of a stand-in."""
         self.http.request(
             "POST",
             f"http://{self.local(address)}/admin",
-            body=json.dumps(order).encode(),
+            body=json.dumps(fields).encode(),
             retries=False,
         )
 
@@ -272,7 +276,7 @@
             conn.sendall(command.encode() + b"\n")
             conn.recv(16)
 
-    def wait_for_port(self, address: str, limit_s: float = 30.0) -> None:
+    def wait_for_port(self, address: str, timeout_s: float = 30.0) -> None:
         """Wait until an address accepts connections."""
         host, _, port = address.rpartition(":")
 
@@ -282,40 +286,40 @@
                 return True
             return False
 
-        wait_until(accepts, limit_s, f"port {address}")
+        wait_until(accepts, timeout_s, f"port {address}")
 
-    def wait_ready(self, names: list[str], limit_s: float = 40.0) -> None:
-        """Wait until instances hold seats that are open."""
+    def wait_ready(self, names: list[str], timeout_s: float = 40.0) -> None:
+        """Wait until each instance has an open seat."""
 
         def ready() -> bool:
             statuses = [self.status(name) for name in names]
             return all(s and s["seats_open"] > 0 for s in statuses)
 
-        wait_until(ready, limit_s, "instances ready")
+        wait_until(ready, timeout_s, "ready instances")
 
     def signal(self, name: str, number: int) -> None:
         """Send a signal to a process that this cluster started."""
         self.processes[name].send_signal(number)
 
-    def stop(self, name: str, limit_s: float = _STOP_LIMIT_S) -> int:
-        """Stop a process by SIGTERM; return its exit code."""
+    def stop(self, name: str, timeout_s: float = _STOP_TIMEOUT_S) -> int:
+        """Stop a process by SIGTERM; return its exit code, or -9 if killed."""
         process = self.processes.pop(name)
         process.terminate()
         try:
-            return process.wait(limit_s)
+            return process.wait(timeout_s)
         except subprocess.TimeoutExpired:
             process.kill()
             process.wait()
             return -9
 
     def kill(self, name: str) -> None:
-        """End a process without warning."""
+        """Kill a process by SIGKILL."""
         process = self.processes.pop(name)
         process.kill()
         process.wait()
 
     def close(self) -> None:
-        """End all processes that are left."""
+        """Kill all remaining processes and release the network."""
         for process in self.processes.values():
             process.kill()
         for process in self.processes.values():
@@ -324,17 +328,17 @@
         self._lock.close()
 
 
-def wait_until(condition, limit_s: float, what: str) -> None:
-    """Wait for a condition with a generous limit."""
-    deadline = time.monotonic() + limit_s
+def wait_until(condition, timeout_s: float, description: str) -> None:
+    """Wait until a condition holds; raise TimeoutError after the timeout."""
+    deadline = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() >= deadline:
-            raise TimeoutError(f"{what}: not within {limit_s} s")
+            raise TimeoutError(f"{description}: timed out after {timeout_s} s")
         time.sleep(0.05)
 
 
-def _take_network() -> tuple[socket.socket, str]:
-    """Reserve a part of the loopback range for this run."""
+def _reserve_network() -> tuple[socket.socket, str]:
+    """Reserve a loopback network for this run by binding a lock port."""
     for octet in range(_FIRST_OCTET, _LAST_OCTET):
         lock = socket.socket()
         try:
@@ -343,19 +347,19 @@
             lock.close()
             continue
         return lock, f"127.{octet}."
-    raise RuntimeError("no free part of the loopback range")
+    raise RuntimeError("every loopback network for test runs is in use")
 
 
 @contextlib.contextmanager
 def running(cluster: Cluster) -> Iterator[Cluster]:
-    """Start stand-ins and instances, declare the deployment, end all."""
+    """Run a deployment with its first ticket submitted; kill it at exit."""
     try:
         cluster.prepare()
         cluster.start_standins()
         cluster.start_instances()
         code, output = cluster.submit("0001-declare.toml")
         if code != 0:
-            raise RuntimeError(f"first ticket: {output}")
+            raise RuntimeError(f"submitting the first ticket failed: {output}")
         names = [i.name for i in deployment.instances(cluster.spec)]
         cluster.wait_ready(names)
         yield cluster
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,8 +1,8 @@
-"""The demonstration: a whole deployment as separate processes on loopback.
+"""Demonstrates a whole deployment as separate processes on loopback.
 
-Submits tickets (one of them a shift, one a drain), sends callers' load,
-replaces one instance gracefully, stops everything and audits the run from
-the backend servers' own logs. Exits non-zero when a guarantee is broken.
+Submits tickets (including a shift and a drain), sends callers' load, restarts
+one instance gracefully, stops all processes and audits the run against the
+backend servers' own logs. Exits non-zero when a guarantee is broken.
 """
 
 import argparse
@@ -23,12 +23,12 @@
 from standins.cluster import source_program
 
 IN_FORCE_LIMIT_MS = 3000
-# A ticket that is not in force after so long is given up.
-IN_FORCE_WAIT_S = 30.0
+# Time after which waiting for a ticket to be in force ends.
+IN_FORCE_TIMEOUT_S = 30.0
 CALLERS_PER_REGION = 16
 RATE_PER_CALLER = 4.0
 SHIFT_CAP_PER_S = 20
-_ZERO_FIGURES = (
+_FIGURES_THAT_MUST_BE_ZERO = (
     "wrong_answers",
     "ran_twice",
     "not_run_but_ran",
@@ -43,56 +43,61 @@
 
 
 class InForceClock:
-    """Measures how long tickets take to be in force on all instances."""
+    """Measures how long tickets take to be in force on all instances.
+
+    `worst_ms` is the longest time of all tickets submitted.
+    """
 
     def __init__(self, *, cluster: Cluster) -> None:
         self._cluster = cluster
         self.worst_ms = 0.0
 
     def submit(self, ticket: str, number: int) -> None:
-        """Submit a ticket and wait until every live instance has it.
+        """Submit a ticket and wait until every live instance applies it.
 
-        The time counts from the store's acceptance of the ticket; how long
-        the operators' command takes to start is no part of it. An instance
-        that is started meanwhile is not live: it serves nothing yet.
+        The time is measured from the store's acceptance of the ticket, so
+        it excludes the start-up of the operator command. An instance that
+        starts during the submission is not live: it serves no requests yet.
         """
-        before = dict(self._cluster.processes)
+        processes_before = dict(self._cluster.processes)
         code, output = self._cluster.submit(ticket)
         if code != 0:
-            raise RuntimeError(f"{ticket}: {output}")
+            raise RuntimeError(f"submitting {ticket} failed: {output}")
         names = [
             i.name
             for i in deployment.instances(self._cluster.spec)
-            if i.name in before
-            and self._cluster.processes.get(i.name) is before[i.name]
+            if i.name in processes_before
+            and self._cluster.processes.get(i.name) is processes_before[i.name]
         ]
         accepted_at = self._accepted_at()
-        while not all(self._has(name, number) for name in names):
-            if time.monotonic() - accepted_at > IN_FORCE_WAIT_S:
+        while not all(self._has_applied(name, number) for name in names):
+            if time.monotonic() - accepted_at > IN_FORCE_TIMEOUT_S:
                 break
             time.sleep(0.02)
-        taken_ms = (time.monotonic() - accepted_at) * 1000
-        self.worst_ms = max(self.worst_ms, taken_ms)
+        elapsed_ms = (time.monotonic() - accepted_at) * 1000
+        self.worst_ms = max(self.worst_ms, elapsed_ms)
 
     def _accepted_at(self) -> float:
         store = self._cluster.local(deployment.STORE)
-        written = self._cluster.get_json(f"http://{store}/admin/written")
-        return written[HEAD_KEY]
+        write_times = self._cluster.get_json(f"http://{store}/admin/written")
+        return write_times[HEAD_KEY]
 
-    def _has(self, name: str, number: int) -> bool:
+    def _has_applied(self, name: str, number: int) -> bool:
         status = self._cluster.status(name)
         return status is not None and status["number"] >= number
 
 
-def plan(cluster: Cluster) -> dict[str, Any]:
-    """Return the callers' plan for a deployment."""
+def callers_plan(cluster: Cluster) -> dict[str, Any]:
+    """Return the plan file of the callers."""
     spec = cluster.spec
     kinds = []
     for service in spec.services:
         kinds += [
-            _kind("GET", service, service.read, 0.35, True, 2000),
-            _kind("GET", service, service.long_read, 0.05, True, 10000),
-            _kind("POST", service, service.write, 0.10, False, 3000),
+            _request_kind("GET", service, service.read, 0.35, True, 2000),
+            _request_kind(
+                "GET", service, service.long_read, 0.05, True, 10000
+            ),
+            _request_kind("POST", service, service.write, 0.10, False, 3000),
         ]
     zones = spec.zones()
     callers = []
@@ -120,7 +125,9 @@
     }
 
 
-def _kind(method, service, path, weight, repeatable, deadline_ms) -> dict:
+def _request_kind(
+    method, service, path, weight, repeatable, deadline_ms
+) -> dict:
     return {
         "method": method,
         "path": f"{service.name}/{path}",
@@ -131,8 +138,10 @@
 
 
 def start_callers(cluster: Cluster, seconds: float, seed: int):
-    """Start the load as a separate process."""
-    (cluster.folder / "plan.json").write_text(json.dumps(plan(cluster)))
+    """Start the callers as a separate process."""
+    (cluster.folder / "plan.json").write_text(
+        json.dumps(callers_plan(cluster))
+    )
     return subprocess.Popen(
         [
             sys.executable,
@@ -152,35 +161,37 @@
 
 
 def demo(cluster: Cluster, seconds: float, seed: int) -> dict[str, Any]:
-    """Run the demonstration and return its figures."""
+    """Run the demonstration; return the audit's figures."""
     clock = InForceClock(cluster=cluster)
     spec = cluster.spec
     names = [i.name for i in deployment.instances(spec)]
-    load = start_callers(cluster, seconds, seed)
+    callers_process = start_callers(cluster, seconds, seed)
     failed_stops = 0
     try:
         time.sleep(seconds * 0.1)
         clock.submit("0002-shift.toml", 2)
-        shift_from = time.time()
+        shift_started_at = time.time()
         servers = deployment.servers(spec)
         time.sleep(seconds * 0.2)
         drain = audit.Drain(server=servers[0].name, at=time.time())
         clock.submit("0003-drain.toml", 3)
-        replaced = threading.Thread(
-            target=lambda: stops.append(_replace(cluster, names[0]))
+        restart = threading.Thread(
+            target=lambda: restart_codes.append(
+                _restart_instance(cluster, names[0])
+            )
         )
-        stops: list[int] = []
-        replaced.start()
+        restart_codes: list[int] = []
+        restart.start()
         time.sleep(seconds * 0.3)
-        shift_to = time.time()
+        shift_ended_at = time.time()
         clock.submit("0004-end-shift.toml", 4)
-        load.wait(seconds + 60)
-        replaced.join()
-        failed_stops += sum(1 for code in stops if code != 0)
-        failed_stops += load.returncode != 0
+        callers_process.wait(seconds + 60)
+        restart.join()
+        failed_stops += sum(1 for code in restart_codes if code != 0)
+        failed_stops += callers_process.returncode != 0
     finally:
-        load.kill()
-        load.wait()
+        callers_process.kill()
+        callers_process.wait()
     codes = _stop_all(cluster, names)
     failed_stops += sum(1 for code in codes if code != 0)
     cap = audit.ShiftCap(
@@ -188,8 +199,8 @@
         source=spec.regions[1],
         target=spec.regions[0],
         cap_per_s=SHIFT_CAP_PER_S,
-        first=shift_from,
-        last=shift_to,
+        first=shift_started_at,
+        last=shift_ended_at,
     )
     figures = audit.audit(
         audit.read_records(cluster.folder, [s.name for s in servers]),
@@ -205,11 +216,11 @@
     return figures
 
 
-def _replace(cluster: Cluster, name: str) -> int:
-    """Stop an instance gracefully, start it again, wait until it serves.
+def _restart_instance(cluster: Cluster, name: str) -> int:
+    """Restart an instance gracefully; return the exit code of its stop.
 
-    A signal that comes while the interpreter still starts ends the process
-    at once, which says nothing about a graceful stop.
+    Wait until it is ready: a signal during the interpreter's start-up kills
+    the process at once, so the next stop would not test a graceful stop.
     """
     code = cluster.stop(name)
     cluster.start_instance(name)
@@ -230,10 +241,10 @@
     return codes
 
 
-def is_kept(figures: dict[str, Any]) -> bool:
-    """Tell whether all guarantees held."""
+def are_guarantees_kept(figures: dict[str, Any]) -> bool:
+    """Return whether the run kept all guarantees."""
     return (
-        all(figures[name] == 0 for name in _ZERO_FIGURES)
+        all(figures[name] == 0 for name in _FIGURES_THAT_MUST_BE_ZERO)
         and figures["ticket_in_force_ms_max"] <= IN_FORCE_LIMIT_MS
         and figures["answered"] >= 0.99 * figures["requests"] > 0
     )
@@ -265,7 +276,7 @@
         with running(cluster):
             figures = demo(cluster, args.seconds, args.seed)
     print(json.dumps(figures))
-    sys.exit(0 if is_kept(figures) else 1)
+    sys.exit(0 if are_guarantees_kept(figures) else 1)
 
 
 if __name__ == "__main__":
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -1,8 +1,8 @@
-"""The two deployments of today: their settings files and first tickets.
+"""Generates the settings files and tickets of the two deployments.
 
 ``python -m standins.deployment`` writes the folders under ``deployments/``,
-which are committed. Addresses are in 127.10.0.0/16; a run on this machine
-moves them to a free part of the loopback range.
+which are committed. Their addresses are in 127.10.0.0/16; a local run
+replaces them by a free part of the loopback range.
 """
 
 import dataclasses
@@ -17,14 +17,14 @@
 PEER_PORT = 7004
 SERVER_PORT = 8080
 STORE = "127.10.0.1:8500"
-SEATS = 12
-# Third number of the addresses that callers of the first zone connect from.
+SEATS = 12  # of each zone
+# Third octet of the source addresses of callers of the first zone.
 CALLERS_FIRST = 231
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ServiceSpec:
-    """A service: its servers, slots and classes."""
+    """A service: its servers, slots and request classes."""
 
     name: str
     servers: int
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Spec:
-    """A deployment; latencies are one way, in ms."""
+    """A deployment; its latencies are one-way."""
 
     name: str
     regions: tuple[str, ...]
@@ -49,7 +49,7 @@
     services: tuple[ServiceSpec, ...]
 
     def zones(self) -> list[tuple[str, str]]:
-        """Return the zones with their regions."""
+        """Return pairs of zone and region."""
         return [(f"{r}-{z}", r) for r in self.regions for z in "ab"]
 
 
@@ -117,7 +117,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class InstanceSpec:
-    """An instance and its IP number."""
+    """An instance and its IP address."""
 
     name: str
     zone: str
@@ -138,10 +138,10 @@
 
 def instances(spec: Spec) -> list[InstanceSpec]:
     """Return the instances of a deployment."""
-    found = []
+    result = []
     for index, (zone, region) in enumerate(spec.zones()):
         for number in range(spec.instances_by_zone[index]):
-            found.append(
+            result.append(
                 InstanceSpec(
                     name=f"{zone}-{number + 1}",
                     zone=zone,
@@ -149,18 +149,18 @@
                     host=f"{NETWORK}{index + 1}.{10 + number}",
                 )
             )
-    return found
+    return result
 
 
 def servers(spec: Spec) -> list[ServerSpec]:
-    """Return the backend servers, spread over the zones in turn."""
+    """Return the backend servers, assigned to the zones round-robin."""
     zones = spec.zones()
-    found = []
-    for base, service in enumerate(spec.services):
+    result = []
+    for row, service in enumerate(spec.services):
         for number in range(service.servers):
             index = number % len(zones)
-            host = f"{index + 1}.{100 + 50 * base + number // len(zones)}"
-            found.append(
+            host = f"{index + 1}.{100 + 50 * row + number // len(zones)}"
+            result.append(
                 ServerSpec(
                     name=f"{service.name}-{number + 1}",
                     service=service,
@@ -169,7 +169,7 @@
                     address=f"{NETWORK}{host}:{SERVER_PORT}",
                 )
             )
-    return found
+    return result
 
 
 def settings_text(spec: Spec, instance: InstanceSpec) -> str:
@@ -215,7 +215,7 @@
 
 
 def first_ticket(spec: Spec) -> str:
-    """Return the ticket that declares the whole deployment."""
+    """Return the first ticket, which declares the whole deployment."""
     parts = [
         'number = 1\nreason = "Declare the deployment"\nauthor = "operations"'
     ]
@@ -280,7 +280,7 @@
 
 
 def server_text(spec: Spec, server: ServerSpec, *, state: str) -> str:
-    """Return the whole state of a server as part of a ticket."""
+    """Return the complete ticket section of a server."""
     return textwrap.dedent(
         f"""\
         [[server]]
@@ -303,7 +303,7 @@
     cap_per_s: int,
     state: str = "active",
 ) -> str:
-    """Return a ticket that moves a part of the second region's requests."""
+    """Return a ticket that shifts requests from the second region."""
     service = spec.services[0].name
     return textwrap.dedent(
         f"""\
@@ -326,16 +326,16 @@
 
 def drain_ticket(spec: Spec, number: int, server: ServerSpec) -> str:
     """Return a ticket that drains one server."""
-    head = (
+    header = (
         f"number = {number}\n"
         f'reason = "Drain {server.name} for maintenance"\n'
         'author = "operations"\n\n'
     )
-    return head + server_text(spec, server, state="drain") + "\n"
+    return header + server_text(spec, server, state="drain") + "\n"
 
 
 def write(spec: Spec) -> None:
-    """Write a deployment's folder."""
+    """Write the files of a deployment."""
     folder = ROOT / spec.name
     for name in ("instances", "tickets"):
         (folder / name).mkdir(parents=True, exist_ok=True)
@@ -356,7 +356,7 @@
 
 
 def main() -> None:
-    """Write both deployments."""
+    """Write the files of both deployments."""
     for spec in SPECS.values():
         write(spec)
 
--- a/standins/measure_spread.py
+++ b/standins/measure_spread.py
@@ -57,8 +57,8 @@
     def start_standins(self) -> None:
         """Start platform and relay."""
         store = self.local(deployment.STORE)
-        self._python("platform", "standins.platform", "--listen", store)
-        self._python(
+        self._start_module("platform", "standins.platform", "--listen", store)
+        self._start_module(
             "relay",
             "standins.relay",
             "--routes",
