--- a/standins/audit.py
+++ b/standins/audit.py
@@ -189,12 +189,12 @@
 def _over_shift_caps(starts: list[Record], limits: Limits) -> int:
     """Count starts that exceed a shift's cap in any one-second window."""
     return sum(
-        count_over(crossing_times(starts, cap, limits), cap.cap_per_s)
+        count_over_cap(shifted_start_times(starts, cap, limits), cap.cap_per_s)
         for cap in limits.shift_caps
     )
 
 
-def crossing_times(
+def shifted_start_times(
     starts: list[Record], cap: ShiftCap, limits: Limits
 ) -> list[float]:
     """Return when requests from a shift's source started at its target."""
@@ -208,7 +208,7 @@
     )
 
 
-def count_over(times: list[float], cap: int) -> int:
+def count_over_cap(times: list[float], cap: int) -> int:
     """Count the times preceded by `cap` or more others within a second."""
     return sum(
         1
@@ -228,8 +228,8 @@
     cap = limits.link_mbit_per_s * _BYTES_PER_MBIT * WINDOW_S
     return sum(
         1
-        for passed in link_bytes(traffic, limits).values()
-        for size in _bytes_by_second(passed)
+        for transfers in link_bytes(traffic, limits).values()
+        for size in _bytes_by_second(transfers)
         if size > cap
     )
 
@@ -251,16 +251,16 @@
     return by_link
 
 
-def most_bytes_in_a_second(passed: list[tuple[float, int]]) -> int:
+def most_bytes_in_a_second(transfers: list[tuple[float, int]]) -> int:
     """Return the highest number of bytes in any one-second window."""
-    return max(_bytes_by_second(passed), default=0)
+    return max(_bytes_by_second(transfers), default=0)
 
 
-def _bytes_by_second(passed: list[tuple[float, int]]) -> Iterator[int]:
+def _bytes_by_second(transfers: list[tuple[float, int]]) -> Iterator[int]:
     """Yield the bytes of the one-second window ending at each record."""
     window: collections.deque[tuple[float, int]] = collections.deque()
     total = 0
-    for at, size in passed:
+    for at, size in transfers:
         window.append((at, size))
         total += size
         while window[0][0] <= at - WINDOW_S:
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -114,7 +114,7 @@
                 {
                     "region": region,
                     "client": f"{cluster.network}"
-                    f"{deployment.CALLERS_FIRST + block - 1}.{number + 1}",
+                    f"{deployment.CALLERS_OCTET + block - 1}.{number + 1}",
                     "lookups": lookups,
                 }
             )
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -19,7 +19,7 @@
 STORE = "127.10.0.1:8500"
 SEATS = 12  # of each zone
 # Third octet of the source addresses of callers of the first zone.
-CALLERS_FIRST = 231
+CALLERS_OCTET = 231
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -238,7 +238,7 @@
         parts.append(
             f'[[site]]\nname = "site-{zone}"\nzone = "{zone}"\n'
             f'blocks = ["10.{index + 1}.0.0/16", '
-            f'"{NETWORK}{CALLERS_FIRST + index}.0/24"]'
+            f'"{NETWORK}{CALLERS_OCTET + index}.0/24"]'
         )
     return "\n\n".join(parts) + "\n"
 
--- a/standins/measure_stops.py
+++ b/standins/measure_stops.py
@@ -297,7 +297,7 @@
     The naive version moves the same requests by random draws, uncapped.
     """
     starts = [e for e in records.events if e["event"] == "start"]
-    moved = audit.crossing_times(starts, cap, run.limits())
+    moved = audit.shifted_start_times(starts, cap, run.limits())
     offered = sorted(
         r["t"]
         for r in records.callers
@@ -321,10 +321,10 @@
             1,
         ),
         "most_in_a_second": _most_in_a_second(moved),
-        "over": audit.count_over(moved, cap.cap_per_s),
+        "over": audit.count_over_cap(moved, cap.cap_per_s),
         "goal_reached_s": _goal_reached_s(moved, offered, fraction, cap),
         "naive_most_in_a_second": _most_in_a_second(naive),
-        "naive_over": audit.count_over(naive, cap.cap_per_s),
+        "naive_over": audit.count_over_cap(naive, cap.cap_per_s),
     }
 
 
--- a/tests/core/test_shift_cap.py
+++ b/tests/core/test_shift_cap.py
@@ -14,7 +14,7 @@
 from chiverun.core.limits import WindowLimiter
 from chiverun.core.seats import held_after_transfer
 from chiverun.core.shift import SHIFT_WINDOW_S
-from standins.audit import count_over
+from standins.audit import count_over_cap
 from tests.core import cap_states
 
 _OK = Answered(status=200, headers=(), body=b"")
@@ -104,7 +104,7 @@
                 case "wait":
                     self.clock.advance(_STEP_S * second)
             self.publish()
-        return count_over(self.arrivals, self.cap)
+        return count_over_cap(self.arrivals, self.cap)
 
 
 _STEPS = st.lists(
@@ -143,7 +143,7 @@
         """
         one = limiter(cap=10, window_s=SHIFT_WINDOW_S)
         times = [i * 0.01 for i in range(300) if one.try_consume(i * 0.01)]
-        self.assertEqual(over > 0, count_over(times, 10) >= max(1, over))
+        self.assertEqual(over > 0, count_over_cap(times, 10) >= max(1, over))
 
     def test_renamed_shift_keeps_its_window(self):
         """Guards against a second window for a shift of another name."""
@@ -196,4 +196,4 @@
         """Shows that random draws by fraction, without a cap, exceed it."""
         rng = random.Random(1)
         times = [i * 0.01 for i in range(500) if rng.random() < 0.5]
-        self.assertGreater(count_over(times, 20), 0)
+        self.assertGreater(count_over_cap(times, 20), 0)
