--- a/standins/load_model.py
+++ b/standins/load_model.py
@@ -1,12 +1,13 @@
 """Discrete-event model of a deployment under load, in virtual time.
 
-The decisions are the product's own code (`Admission` with its choice, queue
-and learnt times, `overflow_targets`, `RetryBudget`, `plan_hedge`); servers,
-network and callers are modelled. The naive system sends each request to a
-random live server of the caller's region, which queues without a bound.
-
-Latency is counted from a request's arrival at an instance to its complete
-response there, so the callers' own distance is left out for both systems.
+Decisions are made by the code of chiverun (`Admission` with server selection,
+queue and estimated times, `overflow_targets`, `RetryBudget`, `plan_hedge`);
+servers, network and callers are modelled. The naive system sends each request
+to a random live server of the caller's region, which has an unbounded queue.
+
+Latency is measured from a request's arrival at an instance to its complete
+response there. It excludes the path between caller and instance for both
+systems.
 """
 
 import dataclasses
@@ -48,32 +49,32 @@
 
 SHORT_S = 0.010
 LONG_FACTOR = 50.0
-# Shape of the running times around their mean.
-SIGMA = 0.5
+# Sigma of the lognormal distribution of running times.
+DURATION_SIGMA = 0.5
 TICK_S = 0.1
 # Time from the cancellation of a request to its end at the server.
-CANCEL_S = 0.001
+CANCEL_DELAY_S = 0.001
 _OK = Answered(status=200, headers=(), body=b"")
-_CUT = Reset(detail="cancelled")
+_CANCELLED = Reset(detail="cancelled")
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Load:
-    """What callers do; times in seconds.
+    """Load that callers offer, with times in seconds.
 
-    `level` is the work offered as a part of all slots, of which `long_share`
-    of the requests are long; `hidden` sends them as short ones. A part
-    `write_share` of the short requests is of the class that may not repeat.
+    `level` is the offered work as a share of all slots. Of the requests,
+    `long_share` are long; with `long_as_short` they are sent in the class of
+    short ones. Of the short requests, `write_share` are not repeatable.
     """
 
     level: float
     seconds: float = 4.0
-    warm_s: float = 2.0
+    warmup_s: float = 2.0
     long_share: float = 0.0
     write_share: float = 0.3
-    hidden: bool = False
+    long_as_short: bool = False
     deadline_s: float | None = None
-    slowed: int = 0
+    slowed_servers: int = 0
     slow_factor: float = 10.0
     region_cap_share: float = 0.0
 
@@ -84,7 +85,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Tally:
-    """What a run measured, of the requests after its warm-up."""
+    """Results of a run for the requests after its warm-up."""
 
     short_us: HdrHistogram = dataclasses.field(
         default_factory=lambda: HdrHistogram(1, 600_000_000, 3)
@@ -103,8 +104,8 @@
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
-class _Run:
-    """One request on a server."""
+class _Execution:
+    """Execution of one request on a server."""
 
     duration_s: float
     is_long: bool
@@ -114,45 +115,45 @@
 
 
 class _Server:
-    """A server that counts what runs and queues what does not fit."""
+    """A server that queues requests beyond its slots."""
 
     def __init__(self, model: "Model", spec, region: str) -> None:
         self._model = model
         self.slots = spec.service.slots
         self.long_slots = spec.service.long_slots
         self.region = region
-        self.slow = 1.0
+        self.slow_factor = 1.0
         self.running = 0
         self.long_running = 0
-        self._queue: list[_Run] = []
+        self._queue: list[_Execution] = []
 
-    def add(self, run: _Run) -> None:
+    def add(self, run: _Execution) -> None:
         if self.running >= self.slots:
-            self._model.queued()
+            self._model.count_queued()
             self._queue.append(run)
         else:
             self._start(run)
 
-    def cancel(self, run: _Run) -> None:
+    def cancel(self, run: _Execution) -> None:
         run.cancelled = True
-        self._model.after(CANCEL_S, lambda: self._end(run))
+        self._model.after(CANCEL_DELAY_S, lambda: self._end(run))
 
-    def _start(self, run: _Run) -> None:
+    def _start(self, run: _Execution) -> None:
         self.running += 1
         self.long_running += run.is_long
         if run.is_long and self.long_running > self.long_slots:
-            self._model.queued()
+            self._model.count_queued()
         run.started = True
-        self._model.start_in(self.region, 1)
+        self._model.count_running(self.region, 1)
         self._model.after(
-            run.duration_s * self.slow,
+            run.duration_s * self.slow_factor,
             lambda: None if run.cancelled else self._end(run),
         )
 
-    def _end(self, run: _Run) -> None:
+    def _end(self, run: _Execution) -> None:
         self.running -= 1
         self.long_running -= run.is_long
-        self._model.start_in(self.region, -1)
+        self._model.count_running(self.region, -1)
         if self._queue:
             self._start(self._queue.pop(0))
         run.done()
@@ -163,15 +164,15 @@
     service: str
     request_class: RequestClass
     is_long: bool
-    born: float
+    arrived_at: float
     deadline: float
-    counted: bool
+    is_measured: bool
     attempts: list = dataclasses.field(default_factory=list)
     ended: bool = False
 
 
 class Model:
-    """One run of one deployment; `naive` replaces all decisions."""
+    """One run of a deployment; `naive` replaces all decisions."""
 
     def __init__(
         self, spec: Spec, load: Load, seed: int, *, naive: bool
@@ -191,9 +192,9 @@
         self._build()
 
     def run(self) -> Tally:
-        """Run to the end of the load and of all requests."""
+        """Run until the load and all requests have ended."""
         load = self._load
-        until = self._start + load.warm_s + load.seconds
+        until = self._start + load.warmup_s + load.seconds
         for node in self._nodes:
             node.arrive(until)
         if not self._naive:
@@ -203,28 +204,28 @@
             self._clock.advance(at - self._clock.monotonic())
             call()
         for node in self._nodes:
-            allowed = 10 + 0.1 * node.firsts
+            hedges_max = 10 + 0.1 * node.first_attempts
             self.tally.hedges += node.hedges
-            self.tally.over_cap += max(0, int(node.hedges - allowed))
+            self.tally.over_cap += max(0, int(node.hedges - hedges_max))
         return self.tally
 
     def after(self, seconds: float, call: Callable[[], None]) -> None:
-        """Schedule a call."""
+        """Schedule a call after a delay."""
         at = self._clock.monotonic() + seconds
         heapq.heappush(self._events, (at, next(self._order), call))
 
-    def queued(self) -> None:
-        """Count a request over a server's slots or long slots.
+    def count_queued(self) -> None:
+        """Count a request that exceeds a server's slots or long slots.
 
-        The naive system has no such limit; its servers queue.
+        The naive system has no such limit; its servers queue the request.
         """
         if self._naive:
             self.tally.queued_at_server += 1
         else:
             self.tally.over_cap += 1
 
-    def start_in(self, region: str, change: int) -> None:
-        """Count requests that run in a region."""
+    def count_running(self, region: str, change: int) -> None:
+        """Update the number of requests that run in a region."""
         self._region_running[region] += change
         cap = self._region_cap[region]
         if not self._naive and cap and self._region_running[region] > cap:
@@ -240,8 +241,10 @@
         for s in servers(spec):
             key = (s.region, s.service.name)
             self._by_region.setdefault(key, []).append(s.name)
-            place = (s.zone, s.service.name)
-            zone_slots[place] = zone_slots.get(place, 0) + s.service.slots
+            zone_key = (s.zone, s.service.name)
+            zone_slots[zone_key] = (
+                zone_slots.get(zone_key, 0) + s.service.slots
+            )
         for region in spec.regions:
             slots = sum(
                 s.slots for s in self.servers.values() if s.region == region
@@ -252,8 +255,8 @@
             names = sorted(
                 n for n in self.servers if n.startswith(service.name)
             )
-            for name in self._rng.sample(names, load.slowed):
-                self.servers[name].slow = load.slow_factor
+            for name in self._rng.sample(names, load.slowed_servers):
+                self.servers[name].slow_factor = load.slow_factor
         ticket = read_ticket(first_ticket(spec).encode())
         state = apply_ticket(empty_state(), ticket)
         regions = {
@@ -282,16 +285,18 @@
 
     def _tick(self, until: float) -> None:
         now = self._clock.monotonic()
-        rooms = {n.info.name: n.admission.free_slots() for n in self._nodes}
+        free_slots = {
+            n.info.name: n.admission.free_slots() for n in self._nodes
+        }
         zones = {}
         for zone, region in self._spec.zones():
-            known = tuple(
+            entries = tuple(
                 EntryAddresses(
                     instance=InstanceId(n.info.name),
                     lookup=n.info.name,
                     entry=n.info.name,
                     forward=n.info.name,
-                    free_slots=rooms[n.info.name],
+                    free_slots=free_slots[n.info.name],
                     measured_at=now,
                 )
                 for n in self._nodes
@@ -300,7 +305,7 @@
             zones[zone] = ZoneView(
                 zone=zone,
                 region=region,
-                instances=known,
+                instances=entries,
                 free_slots={},
                 measured_at=now,
             )
@@ -315,7 +320,7 @@
 
 
 class _Node:
-    """An instance: arrivals and the request path."""
+    """An instance with its arrivals and its request path."""
 
     def __init__(self, model, info, number, count, rates, naive) -> None:
         self._model = model
@@ -335,7 +340,7 @@
         )
         self._budget = RetryBudget()
         self._snapshot: Snapshot | None = None
-        self.firsts = 0
+        self.first_attempts = 0
         self.hedges = 0
 
     def publish(self, zones, now: float) -> None:
@@ -351,54 +356,56 @@
         self.admission.update(self._snapshot)
 
     def arrive(self, until: float) -> None:
-        """Schedule arrivals; both systems draw the same ones."""
+        """Schedule arrivals, which are the same for both systems."""
         load = self._model._load
         for service, rate in self._rates.items():
             if rate <= 0:
                 continue
             at = self._clock.monotonic()
             while (at := at + self._rng.expovariate(rate)) < until:
-                request = self._draw(service, at, load)
+                request = self._draw_request(service, at, load)
                 duration = SHORT_S * (LONG_FACTOR if request.is_long else 1.0)
-                duration *= self._rng.lognormvariate(-(SIGMA**2) / 2, SIGMA)
+                duration *= self._rng.lognormvariate(
+                    -(DURATION_SIGMA**2) / 2, DURATION_SIGMA
+                )
                 self._model.after(
                     at - self._clock.monotonic(),
                     lambda r=request, d=duration: self._accept(r, d),
                 )
 
-    def _draw(self, service: str, at: float, load: Load) -> _Request:
+    def _draw_request(self, service: str, at: float, load: Load) -> _Request:
         classes = self._model.state.of(Service)[service].classes
         read, long_read, write = classes
         is_long = self._rng.random() < load.long_share
         is_write = self._rng.random() < load.write_share
         if is_long:
-            chosen = read if load.hidden else long_read
+            chosen = read if load.long_as_short else long_read
         else:
             chosen = write if is_write else read
-        limit_s = chosen.deadline_ms / 1000.0
+        deadline_s = chosen.deadline_ms / 1000.0
         if load.deadline_s is not None and not is_long:
-            limit_s = min(limit_s, load.deadline_s)
+            deadline_s = min(deadline_s, load.deadline_s)
         return _Request(
             service=service,
             request_class=chosen,
             is_long=is_long,
-            born=at,
-            deadline=at + limit_s,
-            counted=at >= self._model._start + load.warm_s,
+            arrived_at=at,
+            deadline=at + deadline_s,
+            is_measured=at >= self._model._start + load.warmup_s,
         )
 
     def _accept(self, request: _Request, duration: float) -> None:
         tally = self._model.tally
-        if request.counted:
+        if request.is_measured:
             tally.offered += 1
             tally.long_offered += request.is_long
-        self.firsts += 1
+        self.first_attempts += 1
         if self._naive:
             self._run_naive(request, duration)
         else:
             self._budget.deposit()
             steps = self._place(request, duration)
-            self._go_on(steps)
+            self._resume(steps)
 
     def _run_naive(self, request: _Request, duration: float) -> None:
         model = self._model
@@ -406,22 +413,22 @@
             model._by_region[self.info.region, request.service]
         )
         model.servers[name].add(
-            _Run(
+            _Execution(
                 duration_s=duration,
                 is_long=request.is_long,
                 done=lambda: self._finish(request),
             )
         )
 
-    def _go_on(self, steps: Iterator[float]) -> None:
-        """Run a placement, which yields the times it takes."""
+    def _resume(self, steps: Iterator[float]) -> None:
+        """Run a placement, which yields its delays in seconds."""
         delay = next(steps, None)
         if delay is not None:
-            self._model.after(delay, lambda: self._go_on(steps))
+            self._model.after(delay, lambda: self._resume(steps))
 
     def _place(self, request: _Request, duration: float) -> Iterator[float]:
-        """Try own servers, then other instances, then wait here."""
-        work = self._work(request)
+        """Try the own servers, then other instances, then the local queue."""
+        work = self._make_work(request)
         try:
             self._send(
                 request, self.admission.try_acquire(work), duration, hedge=True
@@ -449,36 +456,36 @@
             except ChiverunError:
                 yield one_way
                 continue
-            peer._send(request, grant, duration, back_s=one_way)
+            peer._send(request, grant, duration, return_s=one_way)
             return
-        self._wait(request, work, duration)
+        self._enqueue(request, work, duration)
 
-    def _wait(self, request: _Request, work: Work, duration: float) -> None:
+    def _enqueue(self, request: _Request, work: Work, duration: float) -> None:
         waiter = None
 
-        def woken() -> None:
-            self._model.after(0.0, finished)
+        def notify() -> None:
+            self._model.after(0.0, finish)
 
-        def finished() -> None:
+        def finish() -> None:
             self.admission.withdraw(waiter)
             if waiter.grant is not None:
                 self._send(request, waiter.grant, duration, hedge=True)
             else:
-                self._refuse(request)
+                self._reject(request)
 
-        def late() -> None:
+        def expire() -> None:
             if waiter.grant is None and waiter.error is None:
-                finished()
+                finish()
 
         try:
-            waiter = self.admission.enqueue(work, woken)
+            waiter = self.admission.enqueue(work, notify)
         except ChiverunError:
-            self._refuse(request)
+            self._reject(request)
             return
-        left = waiter.latest_start - self._clock.monotonic()
-        self._model.after(max(0.0, left), late)
+        remaining_s = waiter.latest_start - self._clock.monotonic()
+        self._model.after(max(0.0, remaining_s), expire)
 
-    def _work(self, request: _Request) -> Work:
+    def _make_work(self, request: _Request) -> Work:
         return Work(
             service=request.service,
             request_class=request.request_class,
@@ -493,7 +500,7 @@
         duration: float,
         *,
         hedge: bool = False,
-        back_s: float = 0.0,
+        return_s: float = 0.0,
     ) -> None:
         model = self._model
         server = model.servers[grant.server.name]
@@ -501,15 +508,17 @@
 
         def done() -> None:
             if run.cancelled:
-                self.admission.release(grant, _CUT, cancelled=True, ended=True)
+                self.admission.release(
+                    grant, _CANCELLED, cancelled=True, ended=True
+                )
                 return
             self.admission.release(grant, _OK)
             for _, _, other, other_run in request.attempts:
                 if other_run is not run and not other_run.cancelled:
                     other.cancel(other_run)
-            model.after(back_s, lambda: self._finish(request))
+            model.after(return_s, lambda: self._finish(request))
 
-        run = _Run(
+        run = _Execution(
             duration_s=duration,
             is_long=request.request_class.length is Length.LONG,
             done=done,
@@ -517,9 +526,11 @@
         request.attempts.append((*attempt, run))
         server.add(run)
         if hedge:
-            self._plan(request, grant, duration)
+            self._schedule_hedge(request, grant, duration)
 
-    def _plan(self, request: _Request, grant: Grant, duration: float) -> None:
+    def _schedule_hedge(
+        self, request: _Request, grant: Grant, duration: float
+    ) -> None:
         plan = plan_hedge(
             repeatable=request.request_class.repeatable,
             attempts_left=request.request_class.attempts,
@@ -548,7 +559,7 @@
         if request.ended:
             return
         request.ended = True
-        if not request.counted:
+        if not request.is_measured:
             return
         tally = self._model.tally
         now = self._clock.monotonic()
@@ -557,12 +568,12 @@
         if request.is_long:
             tally.long_in_time += in_time
             return
-        took_us = max(1, int((now - request.born) * 1e6))
-        tally.short_us.record_value(took_us)
+        latency_us = max(1, int((now - request.arrived_at) * 1e6))
+        tally.short_us.record_value(latency_us)
         if not request.request_class.repeatable:
-            tally.write_us.record_value(took_us)
+            tally.write_us.record_value(latency_us)
 
-    def _refuse(self, request: _Request) -> None:
+    def _reject(self, request: _Request) -> None:
         request.ended = True
-        if request.counted:
+        if request.is_measured:
             self._model.tally.not_run += 1
--- a/standins/measure.py
+++ b/standins/measure.py
@@ -1,12 +1,12 @@
-"""Runs measurements and prints their results as JSON lines."""
+"""Run measurements and print their results as JSON lines."""
 
 import argparse
 import importlib
 import json
 import sys
 
-# Name of each measurement, and the module and function that yields it.
-_MEASURES = {
+# Module and generator function of each measurement.
+_MEASUREMENTS = {
     "blocks": ("standins.measure_capacity", "blocks"),
     "lookups": ("standins.measure_capacity", "lookups"),
     "store": ("standins.measure_capacity", "store"),
@@ -32,13 +32,13 @@
     parser.add_argument("--seed", type=int, default=1)
     args = parser.parse_args()
     for name in args.names:
-        if name not in _MEASURES:
-            valid = ", ".join(_MEASURES)
-            parser.error(f"NAME is {name!r}; valid: {valid}")
-    for name in args.names or _MEASURES:
-        module, function = _MEASURES[name]
-        measure = getattr(importlib.import_module(module), function)
-        for result in measure(args.seed):
+        if name not in _MEASUREMENTS:
+            valid = ", ".join(_MEASUREMENTS)
+            parser.error(f"unknown measurement {name!r}; valid: {valid}")
+    for name in args.names or _MEASUREMENTS:
+        module, function = _MEASUREMENTS[name]
+        generate = getattr(importlib.import_module(module), function)
+        for result in generate(args.seed):
             print(json.dumps({**result, "seed": args.seed}))
             sys.stdout.flush()
 
--- a/standins/measure_capacity.py
+++ b/standins/measure_capacity.py
@@ -1,4 +1,7 @@
-"""Slopes for docs/CAPACITY.md: state, look-ups, tickets, store calls."""
+"""Measure the capacity figures of docs/CAPACITY.md.
+
+They are the costs of state, look-ups, tickets and store calls by size.
+"""
 
 import http.client
 import multiprocessing
@@ -31,14 +34,14 @@
 BLOCKS_PER_SITE = 278
 ZONES = 72
 REGIONS = 34
-_LOOKUP_S = 4.0
-_LOOKUP_CLIENTS = (1, 2, 4, 8)
+_LOOKUP_DURATION_S = 4.0
+_LOOKUP_CLIENT_COUNTS = (1, 2, 4, 8)
 _CHANGES = 200
 _TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 def blocks(seed: int) -> Iterator[dict[str, Any]]:
-    """Memory and time of the state and the block table by client blocks."""
+    """Measure the state and the block table by number of client blocks."""
     context = multiprocessing.get_context("spawn")
     for count in BLOCK_COUNTS:
         with context.Pool(1) as pool:
@@ -64,7 +67,7 @@
         "table_mb": round((with_table - with_state) / 1e6, 2),
         "image_mb": round(len(image) / 1e6, 2),
         "build_s": round(build_s, 3),
-        "decode_s": round(_time(lambda: decode_state(image)), 3),
+        "decode_s": round(_cpu_time_s(lambda: decode_state(image)), 3),
         "find_us": round(_find_us(table, rng), 3),
         **_change_costs(state, table, rng),
     }
@@ -81,11 +84,11 @@
 def _change_costs(
     state: State, table: BlockTable, rng: random.Random
 ) -> dict[str, float]:
-    """Restate random sites one by one: state, digest and table."""
+    """Measure tickets that move one site each: state, digest and table."""
     names = rng.sample(sorted(state.of(Site)), min(_CHANGES, 50))
     apply_s = 0.0
     update_s = 0.0
-    size = 0
+    ticket_bytes = 0
     for name in names:
         site = state.of(Site)[name]
         ticket = Ticket(
@@ -100,15 +103,15 @@
                 ),
             ),
         )
-        size += len(encode_ticket(ticket))
+        ticket_bytes += len(encode_ticket(ticket))
         started = time.process_time()
         state = apply_ticket(state, ticket)
-        middle = time.process_time()
+        applied = time.process_time()
         table.update(state.of(Site))
-        update_s += time.process_time() - middle
-        apply_s += middle - started
+        update_s += time.process_time() - applied
+        apply_s += applied - started
     return {
-        "ticket_bytes": round(size / len(names)),
+        "ticket_bytes": round(ticket_bytes / len(names)),
         "apply_ms": round(apply_s / len(names) * 1e3, 3),
         "update_ms": round(update_s / len(names) * 1e3, 3),
     }
@@ -148,7 +151,10 @@
 
 
 def lookups(seed: int) -> Iterator[dict[str, Any]]:
-    """Look-ups a second and processor time of each, by kept connections."""
+    """Measure look-up rate and CPU time by number of connections.
+
+    Connections are persistent.
+    """
     with tempfile.TemporaryDirectory() as folder:
         cluster = Cluster(
             spec=deployment.SPECS["inzira"],
@@ -156,14 +162,14 @@
             program=source_program(),
         )
         try:
-            name = _start_one(cluster)
-            for clients in _LOOKUP_CLIENTS:
+            name = _start_instance(cluster)
+            for clients in _LOOKUP_CLIENT_COUNTS:
                 yield _measure_lookups(cluster, name, clients, seed)
         finally:
             cluster.close()
 
 
-def _start_one(cluster: Cluster) -> str:
+def _start_instance(cluster: Cluster) -> str:
     """Start the platform and one instance with the first ticket."""
     cluster.prepare()
     cluster.start_standins()
@@ -187,23 +193,23 @@
     host = cluster.local(instance.host)
     pid = cluster.processes[name].pid
     context = multiprocessing.get_context("spawn")
-    cpu_before = cpu_seconds(pid)
+    cpu_before_s = cpu_seconds(pid)
     with context.Pool(clients) as pool:
         started = time.monotonic()
         counts = pool.starmap(
             _look_up_for,
-            [(host, _LOOKUP_S, seed + i) for i in range(clients)],
+            [(host, _LOOKUP_DURATION_S, seed + i) for i in range(clients)],
         )
-        elapsed = time.monotonic() - started
-    cpu_s = cpu_seconds(pid) - cpu_before
-    done = sum(count for count, _ in counts)
+        elapsed_s = time.monotonic() - started
+    cpu_s = cpu_seconds(pid) - cpu_before_s
+    lookups_done = sum(count for count, _ in counts)
     rate = sum(count / seconds for count, seconds in counts)
     return {
         "measure": "lookups",
         "connections": clients,
         "lookups_per_s": round(rate),
-        "cpu_us_per_lookup": round(cpu_s / done * 1e6, 1),
-        "core_share": round(cpu_s / elapsed, 2),
+        "cpu_us_per_lookup": round(cpu_s / lookups_done * 1e6, 1),
+        "core_share": round(cpu_s / elapsed_s, 2),
         "resident_mb": round(resident_bytes(pid) / 1e6, 1),
     }
 
@@ -222,7 +228,7 @@
 
 
 def store(seed: int) -> Iterator[dict[str, Any]]:
-    """Store calls a second of a deployment that is at rest."""
+    """Measure the rate of store calls of idle deployments."""
     for name in sorted(deployment.SPECS):
         with tempfile.TemporaryDirectory() as folder:
             cluster = Cluster(
@@ -244,11 +250,13 @@
         cluster.wait_ready(names)
         time.sleep(3)
         before = cluster.get_json(f"http://{address}/admin/calls")
-        cpu = sum(cpu_seconds(cluster.processes[n].pid) for n in names)
-        seconds = 20.0
-        time.sleep(seconds)
+        cpu_before_s = sum(
+            cpu_seconds(cluster.processes[n].pid) for n in names
+        )
+        idle_s = 20.0
+        time.sleep(idle_s)
         after = cluster.get_json(f"http://{address}/admin/calls")
-        used = sum(cpu_seconds(cluster.processes[n].pid) for n in names)
+        cpu_after_s = sum(cpu_seconds(cluster.processes[n].pid) for n in names)
         resident = [resident_bytes(cluster.processes[n].pid) for n in names]
     finally:
         cluster.close()
@@ -258,11 +266,11 @@
         "instances": len(names),
         "zones": len(cluster.spec.zones()),
         "calls_per_s": {
-            method: round((after[method] - before.get(method, 0)) / seconds, 2)
+            method: round((after[method] - before.get(method, 0)) / idle_s, 2)
             for method in after
         },
         "core_share_per_instance": round(
-            (used - cpu) / seconds / len(names), 4
+            (cpu_after_s - cpu_before_s) / idle_s / len(names), 4
         ),
         "resident_mb_per_instance": round(
             sum(resident) / len(resident) / 1e6, 1
@@ -271,14 +279,14 @@
 
 
 def imports(seed: int) -> Iterator[dict[str, Any]]:
-    """Resident memory of an empty process and with the libraries."""
+    """Measure resident memory with and without the imported libraries."""
     context = multiprocessing.get_context("spawn")
-    for what in ("empty", "chiverun.runtime.instance"):
+    for module in ("empty", "chiverun.runtime.instance"):
         with context.Pool(1) as pool:
             yield {
                 "measure": "imports",
-                "loaded": what,
-                "resident_mb": round(pool.apply(_resident_with, (what,)), 1),
+                "loaded": module,
+                "resident_mb": round(pool.apply(_resident_with, (module,)), 1),
             }
 
 
@@ -290,20 +298,20 @@
     return resident_bytes() / 1e6
 
 
-def _time(call) -> float:
+def _cpu_time_s(call) -> float:
     started = time.process_time()
     call()
     return time.process_time() - started
 
 
 def resident_bytes(pid: int | None = None) -> int:
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process, by default of this one."""
     path = pathlib.Path(f"/proc/{pid or os.getpid()}/statm")
     return int(path.read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the CPU time that a process has used."""
     text = pathlib.Path(f"/proc/{pid}/stat").read_text()
     fields = text.rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
--- a/standins/measure_control.py
+++ b/standins/measure_control.py
@@ -1,6 +1,6 @@
-"""Measures what the control plane of an instance costs.
+"""Measure the cost of the control plane of an instance.
 
-`run` yields one dict for each measurement. Bytes are those of encoded
+`run` yields one dictionary per measurement. Byte counts are those of encoded
 messages. Control planes share one process and a manual clock, except in the
 measurement with real processes, which use the pyzmq transport.
 """
@@ -51,29 +51,29 @@
 from standins.planes import SERVICE
 from standins.planes import ZONE
 
-INSTANCES = (4, 16, 32, 64, 67)
-ZONES = (0, 8, 24, 72)
-ZONE_INSTANCES = 4
-PROCESSES = 6
+INSTANCE_COUNTS = (4, 16, 32, 64, 67)
+ZONE_COUNTS = (0, 8, 24, 72)
+INSTANCES_PER_ZONE = 4
+PROCESS_COUNT = 6
 _TARGET_INSTANCES = 67
-_WARM_S = 50.0
-_DETECT_WARM_S = 20.0
+_WARMUP_S = 50.0
+_DETECT_WARMUP_S = 20.0
 _MEASURE_S = 20.0
-_PROCESS_S = 12.0
+_PROCESS_DURATION_S = 12.0
 _DETECT_LIMIT_S = 30.0
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 def run(seed: int) -> Iterator[dict[str, Any]]:
-    """Measure; see the module."""
+    """Yield the results of all measurements."""
     with logbook.NullHandler().applicationbound():
-        for count in INSTANCES:
+        for count in INSTANCE_COUNTS:
             yield _measure_cost(seed, instances=count, zones=0)
-        for zones in ZONES[1:]:
+        for zones in ZONE_COUNTS[1:]:
             yield _measure_cost(seed, instances=_TARGET_INSTANCES, zones=zones)
-        for count in INSTANCES[1:]:
+        for count in INSTANCE_COUNTS[1:]:
             yield _measure_detection(seed, count)
-        yield _measure_processes(PROCESSES)
+        yield _measure_processes(PROCESS_COUNT)
 
 
 def _state(instances: int, zones: int) -> State:
@@ -85,7 +85,7 @@
         for z in range(zones)
     )
     regions = {z.region for z in others}
-    ticket = _replaced(
+    ticket = _replace_fields(
         ticket,
         zone=(*ticket.zone, *others),
         region=(
@@ -96,7 +96,7 @@
     return apply_ticket(empty_state(), ticket)
 
 
-def _replaced(ticket, **fields):
+def _replace_fields(ticket, **fields):
     values = {f: getattr(ticket, f) for f in ticket.__struct_fields__}
     return type(ticket)(**{**values, **fields})
 
@@ -106,21 +106,21 @@
 
 
 class _OtherZones:
-    """Instances of other zones that only answer pings."""
+    """Instances of other zones, which only answer pings."""
 
     def __init__(self, *, planes: Planes, zones: int) -> None:
         self._planes = planes
         self._adverts: list[Advert] = []
-        for number in range(zones * ZONE_INSTANCES):
+        for number in range(zones * INSTANCES_PER_ZONE):
             host = f"127.{1 + number // 200}.0.{number % 200 + 1}"
             advert = self._advert(number, host)
             self._adverts.append(advert)
-            planes.strangers[advert.peer] = self._answer_of(number)
+            planes.other_handlers[advert.peer] = self._ping_handler(number)
 
     def _advert(self, number: int, host: str) -> Advert:
-        zone = _zone_name(number // ZONE_INSTANCES)
+        zone = _zone_name(number // INSTANCES_PER_ZONE)
         return Advert(
-            instance=InstanceId(f"{zone}-{number % ZONE_INSTANCES}"),
+            instance=InstanceId(f"{zone}-{number % INSTANCES_PER_ZONE}"),
             boot_id=BootId(f"{number:016x}"),
             incarnation=1,
             sequence=1,
@@ -135,28 +135,28 @@
             number=1,
         )
 
-    def _answer_of(self, number: int):
-        def answer(message: Message) -> None:
+    def _ping_handler(self, number: int):
+        def handle(message: Message) -> None:
             if not isinstance(message, Ping):
                 return
-            own = self._fresh(number)
-            some = self._planes.rng.sample(range(len(self._adverts)), 2)
-            content = Gossip(
-                sender=own,
+            sender = self._next_advert(number)
+            sampled = self._planes.rng.sample(range(len(self._adverts)), 2)
+            gossip = Gossip(
+                sender=sender,
                 number=1,
                 digest=self._planes.state.digest,
-                adverts=tuple(self._fresh(i) for i in some),
+                adverts=tuple(self._next_advert(i) for i in sampled),
             )
             self._planes.exchange.send(
-                own.peer,
+                sender.peer,
                 message.gossip.sender.peer,
-                Ack(sequence=message.sequence, gossip=content),
+                Ack(sequence=message.sequence, gossip=gossip),
             )
 
-        return answer
+        return handle
 
-    def _fresh(self, number: int) -> Advert:
-        advert = _replaced(
+    def _next_advert(self, number: int) -> Advert:
+        advert = _replace_fields(
             self._adverts[number],
             sequence=self._adverts[number].sequence + 1,
         )
@@ -184,9 +184,9 @@
 
 def _measure_cost(seed: int, *, instances: int, zones: int) -> dict[str, Any]:
     gc.collect()
-    resident = _resident_bytes()
+    baseline_bytes = _resident_bytes()
     planes = _build(seed, instances, zones)
-    planes.run(_WARM_S)
+    planes.run(_WARMUP_S)
     exchange = planes.exchange
     for counter in (exchange.bytes_sent, exchange.bytes_received):
         counter.clear()
@@ -208,7 +208,9 @@
         "bytes_received_per_s": round(statistics.mean(received)),
         "messages_per_s": round(exchange.counts.total() * per_instance, 2),
         "cpu_s_per_s": round(used_s * per_instance, 5),
-        "resident_bytes": round((_resident_bytes() - resident) / instances),
+        "resident_bytes": round(
+            (_resident_bytes() - baseline_bytes) / instances
+        ),
         "members_known": round(
             statistics.mean(
                 len(p.plane.members.rows) for p in planes.lifetimes
@@ -221,23 +223,23 @@
 
 def _measure_detection(seed: int, instances: int) -> dict[str, Any]:
     planes = _build(seed, instances, 0)
-    planes.run(_DETECT_WARM_S)
-    victim = planes.lifetimes[instances // 2]
-    seats = victim.held
-    victim.is_dead = True
+    planes.run(_DETECT_WARMUP_S)
+    killed = planes.lifetimes[instances // 2]
+    seats = killed.held
+    killed.is_dead = True
     killed_at = planes.clock.monotonic()
-    seen: dict[str, float] = {}
+    detected: dict[str, float] = {}
     claimed: dict[int, float] = {}
     while planes.clock.monotonic() - killed_at < _DETECT_LIMIT_S:
         planes.run(TICK_S)
         after_s = planes.clock.monotonic() - killed_at
         for lifetime in planes.running():
-            row = lifetime.plane.members.rows.get(victim.name)
+            row = lifetime.plane.members.rows.get(killed.name)
             if row is not None and not row.is_live:
-                seen.setdefault(lifetime.name, after_s)
+                detected.setdefault(lifetime.name, after_s)
             for seat in lifetime.held & seats:
                 claimed.setdefault(seat, after_s)
-    times = sorted(seen.values())
+    times = sorted(detected.values())
     return {
         "measure": "dead_member_detection",
         "seed": seed,
@@ -265,7 +267,7 @@
     ]
     for process in processes:
         process.start()
-    rows = [results.get(timeout=10 * _PROCESS_S) for _ in processes]
+    rows = [results.get(timeout=10 * _PROCESS_DURATION_S) for _ in processes]
     for process in processes:
         process.join(timeout=10)
     return {
@@ -280,26 +282,25 @@
 
 def _free_ports(count: int) -> list[int]:
     sockets = [socket.socket() for _ in range(count)]
-    for one in sockets:
-        one.bind(("127.0.0.1", 0))
-    ports = [one.getsockname()[1] for one in sockets]
-    for one in sockets:
-        one.close()
+    for sock in sockets:
+        sock.bind(("127.0.0.1", 0))
+    ports = [sock.getsockname()[1] for sock in sockets]
+    for sock in sockets:
+        sock.close()
     return ports
 
 
 def _run_process(number: int, ports: list[int], results) -> None:
-    """Run one control plane on the pyzmq transport; report its cost.
+    """Run one control plane on the pyzmq transport and report its cost.
 
-    Messages are handled on the main thread between ticks, as the control
-    actor does.
+    As in the control actor, the main thread handles messages between ticks.
     """
     logbook.NullHandler().push_application()
     addresses = [Address(f"127.0.0.1:{p}") for p in ports]
     own = addresses[number]
     clock = SystemClock()
     rng = random.Random(number)
-    baseline = _resident_bytes()
+    baseline_bytes = _resident_bytes()
     peers = ZmqPeers(bind=own, addresses=AddressMap(mapping={}))
     inbox: list[bytes] = []
     peers.start(inbox.append)
@@ -326,7 +327,7 @@
     used_s = usage.ru_utime + usage.ru_stime
     sent, received = peers.bytes_sent, peers.bytes_received
     started = time.monotonic()
-    while time.monotonic() - started < _PROCESS_S:
+    while time.monotonic() - started < _PROCESS_DURATION_S:
         time.sleep(TICK_S)
         while inbox:
             try:
@@ -343,7 +344,7 @@
             / elapsed_s,
             "cpu_s_per_s": (usage.ru_utime + usage.ru_stime - used_s)
             / elapsed_s,
-            "resident_bytes": _resident_bytes() - baseline,
+            "resident_bytes": _resident_bytes() - baseline_bytes,
             "members_known": len(plane.members.rows),
         }
     )
--- a/standins/measure_load.py
+++ b/standins/measure_load.py
@@ -1,8 +1,8 @@
-"""Measurements under load against the naive system, interleaved.
+"""Measurements under load, interleaved with the naive system.
 
 Each repetition runs both systems with the same arrivals, in virtual time
 (see `standins.load_model`), for the sizes of both deployments. Medians are
-over the repetitions, ratios are of each pair.
+taken over the repetitions, ratios within each pair of runs.
 """
 
 import gc
@@ -39,47 +39,50 @@
 Result = dict[str, Any]
 
 
-def _pairs(name: str, load: Load, seed: int) -> list[tuple[Tally, Tally]]:
-    """Run both systems in turn; the one that begins alternates."""
+def _run_pairs(name: str, load: Load, seed: int) -> list[tuple[Tally, Tally]]:
+    """Run both systems in turn and alternate which one runs first."""
     pairs = []
     for repetition in range(REPETITIONS):
         order = [False, True] if repetition % 2 else [True, False]
-        found = {
+        tallies = {
             naive: Model(
                 SPECS[name], load, seed + repetition, naive=naive
             ).run()
             for naive in order
         }
-        pairs.append((found[False], found[True]))
+        pairs.append((tallies[False], tallies[True]))
     return pairs
 
 
-def _ms(tally: Tally, quantile: float, *, write: bool = False) -> float:
+def _latency_ms(
+    tally: Tally, percentile: float, *, write: bool = False
+) -> float:
     hist = tally.write_us if write else tally.short_us
-    return hist.get_value_at_percentile(quantile) / 1000.0
+    return hist.get_value_at_percentile(percentile) / 1000.0
 
 
-def _row(
+def _measure(
     measure: str, name: str, load: Load, seed: int, *, write: bool = False
 ) -> Result:
-    pairs = _pairs(name, load, seed)
+    pairs = _run_pairs(name, load, seed)
     median = statistics.median
 
-    def both(read) -> tuple[float, float]:
+    def medians(read) -> tuple[float, float]:
         return (
             round(median(read(a) for a, _ in pairs), 3),
             round(median(read(b) for _, b in pairs), 3),
         )
 
     ratios = [
-        _ms(a, 99, write=write) / _ms(b, 99, write=write) for a, b in pairs
+        _latency_ms(a, 99, write=write) / _latency_ms(b, 99, write=write)
+        for a, b in pairs
     ]
-    p50 = both(lambda t: _ms(t, 50, write=write))
-    p99 = both(lambda t: _ms(t, 99, write=write))
-    p999 = both(lambda t: _ms(t, 99.9, write=write))
-    not_run = both(lambda t: t.not_run / max(1, t.offered))
-    in_time = both(lambda t: t.in_time / max(1, t.offered))
-    long_in_time = both(lambda t: t.long_in_time / max(1, t.long_offered))
+    p50 = medians(lambda t: _latency_ms(t, 50, write=write))
+    p99 = medians(lambda t: _latency_ms(t, 99, write=write))
+    p999 = medians(lambda t: _latency_ms(t, 99.9, write=write))
+    not_run = medians(lambda t: t.not_run / max(1, t.offered))
+    in_time = medians(lambda t: t.in_time / max(1, t.offered))
+    long_in_time = medians(lambda t: t.long_in_time / max(1, t.long_offered))
     return {
         "measure": measure,
         "deployment": name,
@@ -108,44 +111,51 @@
 
 
 def latency(seed: int) -> Iterator[Result]:
-    """Short requests at ordinary load, and the cost of one grant."""
+    """Measure short requests at ordinary load, and the cost of a grant."""
     for name in SPECS:
         for level in (0.5, 0.7):
-            yield _row("latency", name, Load(level=level), seed)
+            yield _measure("latency", name, Load(level=level), seed)
     for servers in (2, 20, 200):
         yield _grant_cost(servers, seed)
 
 
 def blocking(seed: int) -> Iterator[Result]:
-    """Short requests while 10% are long ones, 50 times as long."""
+    """Measure short requests if 10% of all are 50 times as long."""
     for name in SPECS:
         for level in (0.25, 0.5, 0.7):
             load = Load(level=level, long_share=0.1, seconds=12.0)
-            yield _row("blocking", name, load, seed)
+            yield _measure("blocking", name, load, seed)
     for name in SPECS:
-        load = Load(level=0.5, long_share=0.1, seconds=16.0, hidden=True)
-        yield _row("blocking-hidden", name, load, seed, write=True)
+        load = Load(
+            level=0.5, long_share=0.1, seconds=16.0, long_as_short=True
+        )
+        yield _measure("blocking-hidden", name, load, seed, write=True)
 
 
 def tail(seed: int) -> Iterator[Result]:
-    """Short requests while 2 servers of each service are slowed tenfold."""
+    """Measure short requests if 2 servers per service are 10 times slower."""
     for name in SPECS:
         for level in (0.08, 0.3, 0.5):
-            yield _row("tail", name, Load(level=level, slowed=2), seed)
+            yield _measure(
+                "tail", name, Load(level=level, slowed_servers=2), seed
+            )
 
 
 def overload(seed: int) -> Iterator[Result]:
-    """Goodput at 1.5 times capacity, deadline 10 times the mean time."""
+    """Measure goodput at 1.5 times capacity.
+
+    The deadline is 10 times the mean running time of short requests.
+    """
     for name in SPECS:
         for share in (0.0, 0.75):
             load = Load(
                 level=1.5,
                 seconds=1.5,
-                warm_s=1.0,
+                warmup_s=1.0,
                 deadline_s=10.0 * SHORT_S,
                 region_cap_share=share,
             )
-            row = _row("overload", name, load, seed)
+            row = _measure("overload", name, load, seed)
             capacity = 1.0 / load.level * (share or 1.0)
             row["region_cap_share"] = share
             row["goodput_of_capacity"] = round(
@@ -158,10 +168,10 @@
 
 
 def _grant_cost(count: int, seed: int) -> Result:
-    """Time grants in a zone of `count` servers, half of the slots used."""
+    """Measure the time of a grant with half of the slots in use."""
     clock = ManualClock()
     admission = Admission(zone="z", clock=clock, rng=random.Random(seed))
-    admission.update(_one_zone(count))
+    admission.update(_zone_snapshot(count))
     rng = random.Random(seed)
     work = Work(
         service="desk",
@@ -169,30 +179,30 @@
         source_region="r",
         deadline=clock.monotonic() + 10.0,
     )
-    held = []
-    times = []
+    grants = []
+    times_s = []
     gc.collect()
     for _ in range(5000):
-        before = time.perf_counter()
+        started = time.perf_counter()
         grant = admission.try_acquire(work)
-        times.append(time.perf_counter() - before)
-        held.append(grant)
-        if len(held) > count * 4:
-            place = rng.randrange(len(held))
-            admission.cancel(held.pop(place))
+        times_s.append(time.perf_counter() - started)
+        grants.append(grant)
+        if len(grants) > count * 4:
+            index = rng.randrange(len(grants))
+            admission.cancel(grants.pop(index))
         clock.advance(0.0001)
-    times.sort()
+    times_s.sort()
     return {
         "measure": "grant-cost",
         "servers": count,
         "seed": seed,
-        "grants": len(times),
-        "median_us": round(times[len(times) // 2] * 1e6, 1),
-        "p99_us": round(times[int(len(times) * 0.99)] * 1e6, 1),
+        "grants": len(times_s),
+        "median_us": round(times_s[len(times_s) // 2] * 1e6, 1),
+        "p99_us": round(times_s[int(len(times_s) * 0.99)] * 1e6, 1),
     }
 
 
-def _one_zone(count: int) -> Snapshot:
+def _zone_snapshot(count: int) -> Snapshot:
     servers = tuple(
         Server(
             name=f"s{number}",
--- a/standins/planes.py
+++ b/standins/planes.py
@@ -1,8 +1,8 @@
-"""Control planes in one process, on fakes of the interfaces they use.
+"""Control planes in one process, on fakes of their interfaces.
 
-`MessageExchange` stands in for the peer transport, `MemoryStore` for the
-platform's store. `Planes` runs lifetimes of instances step by step on one
-manual clock, gives them work and keeps a log of who used which slot when.
+`MessageExchange` replaces the peer transport, `MemoryStore` the platform's
+store. `Planes` runs process lifetimes of instances step by step on one manual
+clock, gives them requests and records every use of a slot.
 """
 
 import collections
@@ -97,7 +97,7 @@
 
 
 class MemoryStore:
-    """A key-value store with outages, lost answers and restored data."""
+    """A key-value store that can fail, lose answers or be rolled back."""
 
     def __init__(self) -> None:
         self.items: dict[str, tuple[bytes, int]] = {}
@@ -109,7 +109,7 @@
     def _check(self) -> None:
         self.calls += 1
         if self.is_down:
-            raise StoreUnavailable("down")
+            raise StoreUnavailable("store is down")
 
     def get(
         self, key: str, *, index: int = 0, wait_s: float = 0.0
@@ -122,14 +122,14 @@
 
     def put(self, key: str, value: bytes, *, cas: int) -> bool:
         self._check()
-        known = self.items.get(key)
-        if (known[1] if known else 0) != cas:
+        current = self.items.get(key)
+        if (current[1] if current else 0) != cas:
             return False
         self.index += 1
         self.items[key] = (value, self.index)
         if self.lost_answers > 0:
             self.lost_answers -= 1
-            raise StoreAnswerLost(key)
+            raise StoreAnswerLost(f"answer to the write of {key!r} was lost")
         return True
 
     def delete(self, key: str, *, cas: int) -> bool:
@@ -142,7 +142,7 @@
 
 
 class StoreView:
-    """The store as one instance reaches it."""
+    """The store as seen by one instance, which can be cut off from it."""
 
     def __init__(
         self, *, store: MemoryStore, is_cut: Callable[[], bool]
@@ -152,17 +152,17 @@
 
     def get(self, key: str, *, index: int = 0, wait_s: float = 0.0):
         if self._is_cut():
-            raise StoreUnavailable("cut")
+            raise StoreUnavailable("instance is cut off from the store")
         return self._store.get(key)
 
     def put(self, key: str, value: bytes, *, cas: int) -> bool:
         if self._is_cut():
-            raise StoreUnavailable("cut")
+            raise StoreUnavailable("instance is cut off from the store")
         return self._store.put(key, value, cas=cas)
 
 
 class MessageExchange:
-    """Delivers encoded messages with loss, delay, duplicates and cuts."""
+    """Network of encoded messages with loss, delays, duplicates and cuts."""
 
     def __init__(self, *, clock: ManualClock, rng: random.Random) -> None:
         self._clock = clock
@@ -188,7 +188,7 @@
             at = self._clock.monotonic() + self._rng.uniform(*self.delay_s)
             heapq.heappush(self._due, (at, next(self._order), to, data))
 
-    def take_due(self) -> list[tuple[Address, bytes]]:
+    def pop_due(self) -> list[tuple[Address, bytes]]:
         """Return the messages that have arrived by now."""
         arrived = []
         while self._due and self._due[0][0] <= self._clock.monotonic():
@@ -199,7 +199,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Use:
+class SlotUse:
     """A use of a slot by a process lifetime, in monotonic seconds."""
 
     boot_id: BootId
@@ -208,14 +208,14 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class _Running:
+class _RunningRequest:
     grant: Grant
-    use: Use
+    use: SlotUse
     is_sent: bool = False
 
 
 class Lifetime:
-    """One process lifetime of an instance."""
+    """One process lifetime of an instance, with its control plane."""
 
     def __init__(
         self,
@@ -233,7 +233,7 @@
         self.frozen_until = float("-inf")
         self.jobs: collections.deque[StoreJob] = collections.deque()
         self.inbox: collections.deque[Event | Message] = collections.deque()
-        self.running: list[_Running] = []
+        self.running: list[_RunningRequest] = []
         rng = random.Random(planes.rng.random())
         boot_id = BootId(f"{planes.rng.getrandbits(64):016x}")
         self.admission = Admission(zone=zone, clock=planes.clock, rng=rng)
@@ -283,15 +283,18 @@
         return not self.is_dead and now >= self.frozen_until
 
     def step(self) -> None:
-        """Handle what came in, run one store job, tick, and do work."""
-        order = [self._take_in, self.plane.tick, self._run_job]
+        """Handle the inbox, tick, run one store job and process requests.
+
+        The first three run in forward or reverse order at random.
+        """
+        actions = [self._handle_inbox, self.plane.tick, self._run_job]
         if self._planes.rng.random() < 0.5:
-            order.reverse()
-        for act in order:
-            act()
-        self._work()
+            actions.reverse()
+        for action in actions:
+            action()
+        self._process_requests()
 
-    def _take_in(self) -> None:
+    def _handle_inbox(self) -> None:
         while self.inbox:
             item = self.inbox.popleft()
             if isinstance(item, Event):
@@ -304,7 +307,7 @@
             return
         self.inbox.append(run_job(self.records, self.jobs.popleft()))
 
-    def _work(self) -> None:
+    def _process_requests(self) -> None:
         now = self._planes.clock.monotonic()
         for item in list(self.running):
             if not item.is_sent:
@@ -314,38 +317,39 @@
                     item.use.until = min(item.use.until, now)
                     self.running.remove(item)
             elif now >= item.use.until:
-                self.admission.release(item.grant, _answer())
+                self.admission.release(item.grant, _ok_response())
                 self.running.remove(item)
         for request_class in self._planes.load:
-            self._start_work(request_class, now)
+            self._start_request(request_class, now)
 
-    def _start_work(self, request_class: RequestClass, now: float) -> None:
-        longest_s = request_class.deadline_ms / 1000.0
+    def _start_request(self, request_class: RequestClass, now: float) -> None:
+        limit_s = request_class.deadline_ms / 1000.0
         work = Work(
             service=SERVICE,
             request_class=request_class,
             source_region=REGION,
-            deadline=now + longest_s,
+            deadline=now + limit_s,
         )
         try:
             grant = self.admission.try_acquire(work)
         except ChiverunError:
             return
-        # Many requests run until their deadline, the worst for a claimant.
-        part = self._planes.rng.choice((1.0, 1.0, 0.1))
-        use = Use(
-            boot_id=self.boot_id, start=now, until=now + longest_s * part
+        # Most requests run until their deadline, the worst case for an
+        # instance that claims the seat.
+        limit_share = self._planes.rng.choice((1.0, 1.0, 0.1))
+        use = SlotUse(
+            boot_id=self.boot_id, start=now, until=now + limit_s * limit_share
         )
         self._planes.uses[grant.server.name, grant.slot].append(use)
-        self.running.append(_Running(grant=grant, use=use))
+        self.running.append(_RunningRequest(grant=grant, use=use))
 
 
-def _answer() -> Answered:
+def _ok_response() -> Answered:
     return Answered(status=200, headers=(), body=b"")
 
 
 class Planes:
-    """Several lifetimes on one clock, exchange and store."""
+    """Several lifetimes that share a clock, an exchange and a store."""
 
     def __init__(
         self,
@@ -363,16 +367,16 @@
         self.store = MemoryStore()
         self.seeds = tuple(self.address(i) for i in range(seeds))
         self.cut_from_store: set[Address] = set()
-        # Receivers of messages to addresses without a control plane.
-        self.strangers: dict[Address, Callable[[Message], None]] = {}
+        # Handlers of messages to addresses without a control plane.
+        self.other_handlers: dict[Address, Callable[[Message], None]] = {}
         self.lifetimes: list[Lifetime] = []
-        self.uses: dict[tuple[str, int], list[Use]] = collections.defaultdict(
-            list
+        self.uses: dict[tuple[str, int], list[SlotUse]] = (
+            collections.defaultdict(list)
         )
 
     @staticmethod
     def address(number: int) -> Address:
-        """Return the peer address of the instance with a number."""
+        """Return the peer address of an instance by its number."""
         return Address(f"127.0.{number // 200}.{number % 200 + 1}:7000")
 
     def is_store_cut(self, peer: Address) -> bool:
@@ -386,7 +390,7 @@
         kind: type[ControlPlane] = ControlPlane,
         zone: ZoneName = ZONE,
     ) -> Lifetime:
-        """Start an instance; one at the same address has ended."""
+        """Start an instance; end a previous one at the same address."""
         peer = peer or self.address(number)
         for other in self.lifetimes:
             if other.peer == peer:
@@ -405,7 +409,7 @@
         return [p for p in self.lifetimes if p.is_running]
 
     def run(self, seconds: float) -> None:
-        """Advance the clock and run all lifetimes that are not frozen."""
+        """Advance the clock and step all lifetimes that run."""
         for _ in range(round(seconds / STEP_S)):
             self.clock.advance(STEP_S)
             self._deliver()
@@ -413,7 +417,7 @@
                 lifetime.step()
 
     def run_until(self, condition: Callable[[], bool], limit_s: float) -> bool:
-        """Run until a condition holds; return whether it did in time."""
+        """Run until a condition holds; return whether it holds in time."""
         for _ in range(round(limit_s)):
             if condition():
                 return True
@@ -422,17 +426,17 @@
 
     def _deliver(self) -> None:
         by_peer = {p.peer: p for p in self.lifetimes if not p.is_dead}
-        for to, data in self.exchange.take_due():
+        for to, data in self.exchange.pop_due():
             if to in by_peer:
                 by_peer[to].inbox.append(decode_message(data))
-            elif to in self.strangers:
-                self.strangers[to](decode_message(data))
+            elif to in self.other_handlers:
+                self.other_handlers[to](decode_message(data))
 
     def overlaps(self) -> list[str]:
-        """Return uses of one slot by two lifetimes at the same time."""
+        """Describe each simultaneous use of a slot by two lifetimes."""
         found = []
         for slot, uses in self.uses.items():
-            last: Use | None = None
+            last: SlotUse | None = None
             for use in sorted(uses, key=lambda u: (u.start, u.until)):
                 if (
                     last is not None
@@ -448,7 +452,7 @@
         return found
 
     def is_even(self, seats: int = 6) -> bool:
-        """Tell whether running lifetimes hold all seats, evenly."""
+        """Return whether running instances hold all seats, evenly spread."""
         held = [p.held for p in self.running() if not p.plane.is_leaving]
         sizes = [len(h) for h in held]
         return (
--- a/standins/soak/__init__.py
+++ b/standins/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized soak of edge instances as processes, with injected faults."""
+"""Randomized soak test of edge instance processes with injected faults."""
--- a/standins/soak/clients.py
+++ b/standins/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the soak, and what they saw of each request."""
+"""Clients of the soak test, which record the outcome of each request."""
 
 import asyncio
 import collections
@@ -13,46 +13,46 @@
 from chiverun.integrations.asyncclient import OutgoingRequest
 
 CLIENT_TIMEOUT_S = 3.0
-PAUSE_S = 0.04
-# Statuses that promise that a request has not run and will not run.
+REQUEST_PAUSE_S = 0.04
+# Statuses that guarantee that a request has not run and will not run.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Seen:
-    """A request as its client saw it; status 0 if no response came."""
+class RequestResult:
+    """Outcome of a request at its client; status 0 means no response."""
 
     request_id: str
     repeatable: bool
     status: int
     body: bytes
-    began_at: float
+    started_at: float
     ended_at: float
 
 
 class Clients:
-    """Loops of requests on kept connections to random instances."""
+    """Clients with persistent connections to random instances."""
 
     def __init__(self, *, addresses: list[Address], seed: int) -> None:
-        self.seen: list[Seen] = []
+        self.results: list[RequestResult] = []
         self.statuses: collections.Counter[int] = collections.Counter()
         self._addresses = addresses
         self._rng = random.Random(seed)
         self._numbers = itertools.count()
 
     async def run(self) -> None:
-        """Send until cancelled."""
+        """Send requests until cancelled."""
         connections: dict[Address, ClientConnection] = {}
         while True:
             address = self._rng.choice(self._addresses)
-            await self._one(address, connections)
-            await asyncio.sleep(PAUSE_S)
+            await self._send_request(address, connections)
+            await asyncio.sleep(REQUEST_PAUSE_S)
 
-    async def _one(
+    async def _send_request(
         self, address: Address, connections: dict[Address, ClientConnection]
     ) -> None:
         loop = asyncio.get_running_loop()
-        began_at = loop.time()
+        started_at = loop.time()
         number = next(self._numbers)
         repeatable = self._rng.random() < 0.6
         request_id = f"q{number}"
@@ -64,24 +64,24 @@
                 )
         except (OSError, TimeoutError):
             return
-        end = await connection.exchange(
+        outcome = await connection.exchange(
             _request(request_id, repeatable, self._rng.randrange(20)),
             CLIENT_TIMEOUT_S,
         )
-        answer = end if isinstance(end, Answered) else None
+        answer = outcome if isinstance(outcome, Answered) else None
         if answer is not None and connection.reusable:
             connections[address] = connection
         else:
             connection.abort()
         status = answer.status if answer else 0
         self.statuses[status] += 1
-        self.seen.append(
-            Seen(
+        self.results.append(
+            RequestResult(
                 request_id=request_id,
                 repeatable=repeatable,
                 status=status,
                 body=answer.body if answer else b"",
-                began_at=began_at,
+                started_at=started_at,
                 ended_at=loop.time(),
             )
         )
--- a/standins/soak/proxy.py
+++ b/standins/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Loopback proxy that delays, resets, cuts one way or silences."""
+"""Loopback proxy that delays, resets or drops traffic, also one way only."""
 
 import asyncio
 import enum
@@ -8,7 +8,7 @@
 
 
 class Mode(enum.Enum):
-    """What a proxy does with its connections."""
+    """How a proxy treats the traffic of its connections."""
 
     PASS = "pass"
     DELAY = "delay"
@@ -19,11 +19,11 @@
 
 
 DELAY_S = 0.15
-_CHUNK = 65536
+_CHUNK_BYTES = 65536
 
 
 class Proxy:
-    """Forwards connections to one address; `mode` may change at any time."""
+    """Forwarder of connections to one address, with a changeable mode."""
 
     def __init__(self, *, bind: Address, to: Address) -> None:
         self.mode = Mode.PASS
@@ -34,7 +34,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         host, port = split_address(self.bind)
         self._server = await asyncio.start_server(self._serve, host, port)
 
@@ -59,39 +59,41 @@
             if self.mode is Mode.RESET:
                 return
             host, port = split_address(self._to)
-            far_reader, far_writer = await asyncio.open_connection(host, port)
-            self._writers.add(far_writer)
+            server_reader, server_writer = await asyncio.open_connection(
+                host, port
+            )
+            self._writers.add(server_writer)
             try:
                 await asyncio.gather(
-                    self._pump(reader, far_writer, Mode.CUT_TO_SERVER),
-                    self._pump(far_reader, writer, Mode.CUT_TO_CLIENT),
+                    self._copy(reader, server_writer, Mode.CUT_TO_SERVER),
+                    self._copy(server_reader, writer, Mode.CUT_TO_CLIENT),
                 )
             finally:
-                self._writers.discard(far_writer)
-                far_writer.transport.abort()
+                self._writers.discard(server_writer)
+                server_writer.transport.abort()
         except (OSError, asyncio.CancelledError):
-            # Either end broke off, which is what the other end shall see.
+            # One end has closed; the `finally` block closes the other.
             pass
         finally:
             self._tasks.discard(asyncio.current_task())
             self._writers.discard(writer)
             writer.transport.abort()
 
-    async def _pump(
+    async def _copy(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        cut: Mode,
+        cut_mode: Mode,
     ) -> None:
-        while data := await reader.read(_CHUNK):
+        while data := await reader.read(_CHUNK_BYTES):
             if self.mode is Mode.RESET:
                 raise ConnectionResetError
-            if self.mode in (Mode.SILENT, cut):
+            if self.mode in (Mode.SILENT, cut_mode):
                 continue
             if self.mode is Mode.DELAY:
                 await asyncio.sleep(DELAY_S)
             writer.write(data)
             await writer.drain()
-        if self.mode in (Mode.SILENT, cut):
+        if self.mode in (Mode.SILENT, cut_mode):
             await asyncio.Event().wait()
         writer.write_eof()
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -1,4 +1,4 @@
-"""Runs soaks: python -m standins.soak.run [--seeds N] [--first-seed S]."""
+"""Run soak tests: python -m standins.soak.run [--seeds N] [--first-seed S]."""
 
 import asyncio
 import json
@@ -8,33 +8,37 @@
 
 from standins.soak.clients import Clients
 from standins.soak.clients import NOT_RUN_STATUSES
-from standins.soak.world import World
+from standins.soak.world import SoakEnvironment
 
-# Seeds that once failed: 2 and 5, a success without stamp and id passed on;
-# 5 and 7, a lost cancellation; 4, two faults of the soak started one edge.
+# Seeds that have found faults: 2 and 5, a success without stamp and id was
+# passed on; 5 and 7, a cancellation was lost; 4, two faults of the soak test
+# started the same edge.
 REGRESSION_SEEDS = (2, 4, 5, 7)
-FAULT_S = 10.0
+FAULT_PHASE_S = 10.0
 FAULT_SERIES = 3
 CLIENT_LOOPS = 6
-# Requests sent so long after the last fault are served again.
+# Time after the last fault from which requests must be served again.
 RECOVERY_S = 6.0
 CHECK_S = 2.0
-SERVED_LEAST = 0.9
+SERVED_SHARE_MIN = 0.9
 ANSWER_LIMIT_S = 2.0 + 0.5
 
 
 async def soak(seed: int) -> tuple[list[str], list[str], dict]:
-    """Run one soak; return violations, faults and counts of statuses."""
-    world = World(seed=seed)
-    await world.start()
+    """Run one soak test; return violations, faults and status counts."""
+    environment = SoakEnvironment(seed=seed)
+    await environment.start()
     clients = Clients(
-        addresses=[edge.listen["front"] for edge in world.edges], seed=seed
+        addresses=[edge.listen["front"] for edge in environment.edges],
+        seed=seed,
     )
     loops = [asyncio.create_task(clients.run()) for _ in range(CLIENT_LOOPS)]
     try:
-        await asyncio.gather(*(_series(world) for _ in range(FAULT_SERIES)))
-        for edge in world.edges:
-            await world.until_ready(edge)
+        await asyncio.gather(
+            *(_inject_faults(environment) for _ in range(FAULT_SERIES))
+        )
+        for edge in environment.edges:
+            await environment.wait_ready(edge)
         await asyncio.sleep(RECOVERY_S)
         checked_from = asyncio.get_running_loop().time()
         await asyncio.sleep(CHECK_S)
@@ -42,42 +46,46 @@
         for loop in loops:
             loop.cancel()
         await asyncio.gather(*loops, return_exceptions=True)
-        await world.stop()
-    _judge(world, clients, checked_from)
-    return world.violations, world.events, dict(clients.statuses)
+        await environment.stop()
+    _check_results(environment, clients, checked_from)
+    return environment.violations, environment.events, dict(clients.statuses)
 
 
-async def _series(world: World) -> None:
-    """Inject faults one after the other; several series overlap."""
+async def _inject_faults(environment: SoakEnvironment) -> None:
+    """Inject faults one after the other; several series run at once."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + FAULT_S
+    until = loop.time() + FAULT_PHASE_S
     while loop.time() < until:
-        await asyncio.sleep(world.rng.uniform(0.0, 1.0))
-        await world.fault()
-
-
-def _judge(world: World, clients: Clients, checked_from: float) -> None:
-    """Check the promises from what clients and servers saw."""
-    for seen in clients.seen:
-        runs = sum(up.runs[seen.request_id] for up in world.upstreams)
-        if not seen.repeatable and runs > 1:
-            world.violations.append(f"{seen.request_id} ran {runs} times")
-        if seen.status in NOT_RUN_STATUSES and runs:
-            world.violations.append(
-                f"{seen.request_id} refused with {seen.status} but ran"
+        await asyncio.sleep(environment.rng.uniform(0.0, 1.0))
+        await environment.inject_fault()
+
+
+def _check_results(
+    environment: SoakEnvironment, clients: Clients, checked_from: float
+) -> None:
+    """Check the guarantees against the records of clients and servers."""
+    for result in clients.results:
+        runs = sum(up.runs[result.request_id] for up in environment.upstreams)
+        if not result.repeatable and runs > 1:
+            environment.violations.append(
+                f"{result.request_id} ran {runs} times"
+            )
+        if result.status in NOT_RUN_STATUSES and runs:
+            environment.violations.append(
+                f"{result.request_id} rejected with {result.status} but ran"
             )
-        if seen.status == 200 and not seen.body.startswith(
-            f"ran {seen.request_id} ".encode()
+        if result.status == 200 and not result.body.startswith(
+            f"ran {result.request_id} ".encode()
         ):
-            world.violations.append(
-                f"{seen.request_id} got the body {seen.body[:40]!r}"
+            environment.violations.append(
+                f"{result.request_id} got the body {result.body[:40]!r}"
             )
-        if seen.status == 404:
-            world.violations.append(f"{seen.request_id} got 404")
-    late = [seen for seen in clients.seen if seen.began_at >= checked_from]
-    served = sum(seen.status == 200 for seen in late)
-    if not late or served < SERVED_LEAST * len(late):
-        world.violations.append(
+        if result.status == 404:
+            environment.violations.append(f"{result.request_id} got 404")
+    late = [r for r in clients.results if r.started_at >= checked_from]
+    served = sum(r.status == 200 for r in late)
+    if not late or served < SERVED_SHARE_MIN * len(late):
+        environment.violations.append(
             f"{served} of {len(late)} requests served after the faults"
         )
 
@@ -88,14 +96,14 @@
     jobs: int = 1,
     regressions: bool = False,
 ) -> None:
-    """Run soaks with seeds from `first_seed` on, `jobs` at a time.
+    """Run soak tests with seeds from `first_seed` on, `jobs` at a time.
 
-    With `regressions` the seeds that once failed are run instead.
+    With `regressions`, run `REGRESSION_SEEDS` instead.
     """
     numbers = list(range(first_seed, first_seed + seeds))
     if regressions:
         numbers = list(REGRESSION_SEEDS)
-    results = asyncio.run(_all(numbers, jobs))
+    results = asyncio.run(_run_seeds(numbers, jobs))
     failed = [seed for seed, rows in results.items() if rows]
     print(
         json.dumps(
@@ -109,12 +117,12 @@
     sys.exit(1 if failed else 0)
 
 
-async def _all(seeds: list[int], jobs: int) -> dict[int, list[str]]:
-    slots = asyncio.Semaphore(jobs)
+async def _run_seeds(seeds: list[int], jobs: int) -> dict[int, list[str]]:
+    semaphore = asyncio.Semaphore(jobs)
     results: dict[int, list[str]] = {}
 
-    async def one(seed: int) -> None:
-        async with slots:
+    async def run_seed(seed: int) -> None:
+        async with semaphore:
             violations, events, statuses = await soak(seed)
         results[seed] = violations
         print(f"seed {seed}: {statuses}, {len(violations)} violations")
@@ -123,7 +131,7 @@
         if violations:
             print(f"  faults: {'; '.join(events)}", flush=True)
 
-    await asyncio.gather(*(one(seed) for seed in seeds))
+    await asyncio.gather(*(run_seed(seed) for seed in seeds))
     return results
 
 
--- a/standins/soak/world.py
+++ b/standins/soak/world.py
@@ -1,4 +1,4 @@
-"""The processes, stand-ins and proxies of one soak, and their faults."""
+"""Processes, stand-ins and proxies of one soak test, and their faults."""
 
 import asyncio
 import itertools
@@ -22,26 +22,26 @@
 ZONES = {"a1": "a", "b1": "b"}
 EDGES = 3
 UPSTREAMS = 4
-WORK_S = 0.03
+SERVICE_TIME_S = 0.03
 GRACE_S = 6.0
 START_LIMIT_S = 20.0
 FIRST_PORT = 21000
 
 
 class Addresses:
-    """Loopback addresses that no other soak and no client uses."""
+    """Loopback addresses that no other soak test and no client uses."""
 
     def __init__(self, *, seed: int) -> None:
         self.ip = f"127.{1 + seed % 250}.{1 + os.getpid() % 250}.1"
         self._ports = itertools.count(FIRST_PORT)
 
     def next(self) -> Address:
-        """Return a further address."""
+        """Return the next unused address."""
         return Address(f"{self.ip}:{next(self._ports)}")
 
 
 class EdgeProcess:
-    """One edge instance as a process of its own."""
+    """One edge instance in its own process."""
 
     def __init__(
         self, *, folder: str, index: int, store: Address, addresses: Addresses
@@ -95,19 +95,19 @@
         )
 
     async def restart(self, ended: asyncio.subprocess.Process) -> None:
-        """Start again after a process, unless another fault did so."""
+        """Replace the `ended` process unless another fault has done so."""
         async with self._starting:
             if self.process is ended:
                 await self.start()
 
-    def send(self, number: signal.Signals) -> None:
-        """Signal the process, if it runs."""
+    def send_signal(self, signum: signal.Signals) -> None:
+        """Signal the process if it is running."""
         if self.process is not None and self.process.returncode is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signum)
 
 
-class World:
-    """Everything of one soak but its clients."""
+class SoakEnvironment:
+    """All parts of one soak test except its clients."""
 
     def __init__(self, *, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -123,7 +123,7 @@
         self._listener: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Start all and wait until every instance is ready."""
+        """Start all parts and wait until every instance is ready."""
         address = self._addresses.next()
         self._listener = await self.store.start(address)
         await self.put_state()
@@ -144,7 +144,7 @@
             edge.write_settings(seeds)
             await edge.start()
         for edge in self.edges:
-            await self.until_ready(edge)
+            await self.wait_ready(edge)
 
     async def _add_upstream(self, index: int) -> None:
         upstream = Upstream(
@@ -153,7 +153,7 @@
             address=self._addresses.next(),
             zone=list(ZONES)[index % len(ZONES)],
         )
-        upstream.faults = UpstreamFaults(delay_s=WORK_S)
+        upstream.faults = UpstreamFaults(delay_s=SERVICE_TIME_S)
         await upstream.start()
         proxy = Proxy(bind=self._addresses.next(), to=upstream.address)
         await proxy.start()
@@ -162,7 +162,7 @@
         await self.register(index)
 
     async def register(self, index: int, **changes) -> None:
-        """Write an upstream's entry; callers reach it through its proxy."""
+        """Register an upstream under the address of its proxy."""
         upstream = self.upstreams[index]
         entry = upstream.entry(address=self.proxies[index].bind, **changes)
         await self.store.put(f"servers/{upstream.name}", entry)
@@ -199,8 +199,8 @@
         }
         await self.store.put("op/config", json.dumps(body).encode())
 
-    async def until_ready(self, edge: EdgeProcess) -> None:
-        """Wait until an instance answers that it is ready."""
+    async def wait_ready(self, edge: EdgeProcess) -> None:
+        """Wait until an instance reports that it is ready."""
         host, port = edge.listen["ready"].split(":")
         request = b"GET /-/readiness HTTP/1.1\r\nHost: x\r\n\r\n"
         for _ in range(int(START_LIMIT_S / 0.1)):
@@ -214,13 +214,15 @@
             except (OSError, TimeoutError):
                 pass
             await asyncio.sleep(0.1)
-        self.violations.append(f"{edge.name} not ready in {START_LIMIT_S} s")
+        self.violations.append(
+            f"{edge.name} was not ready within {START_LIMIT_S} s"
+        )
 
     async def stop(self) -> None:
-        """End every process that was started here, and close all."""
+        """End all started processes and close all listeners and proxies."""
         for edge in self.edges:
-            edge.send(signal.SIGCONT)
-            edge.send(signal.SIGKILL)
+            edge.send_signal(signal.SIGCONT)
+            edge.send_signal(signal.SIGKILL)
             if edge.process is not None:
                 await edge.process.wait()
             edge.store_proxy.stop()
@@ -229,39 +231,41 @@
         for upstream in self.upstreams:
             upstream.stop()
         self._listener.close()
-        # Lets the cancelled tasks end before the loop does.
+        # Lets cancelled tasks finish before the event loop closes.
         await asyncio.sleep(0.1)
         self._folder.cleanup()
 
-    async def fault(self) -> None:
-        """Inject one fault and take it back after a while."""
+    async def inject_fault(self) -> None:
+        """Inject one random fault and revert it after a random time."""
         kinds = (
-            self._store_path,
-            self._upstream_path,
+            self._store_path_fault,
+            self._upstream_path_fault,
             self._store_fault,
             self._upstream_fault,
-            self._pause,
-            self._kill,
-            self._planned_stop,
-            self._drain,
-            self._new_states,
+            self._pause_edge,
+            self._kill_edge,
+            self._stop_edge,
+            self._drain_upstream,
+            self._publish_states,
         )
         await self.rng.choice(kinds)()
 
-    def _note(self, text: str) -> None:
-        self.events.append(text)
+    def _record_event(self, description: str) -> None:
+        self.events.append(description)
 
-    async def _store_path(self) -> None:
+    async def _store_path_fault(self) -> None:
         edge = self.rng.choice(self.edges)
-        await self._disturb(edge.store_proxy, f"store path of {edge.name}")
+        await self._inject_path_fault(
+            edge.store_proxy, f"store path of {edge.name}"
+        )
 
-    async def _upstream_path(self) -> None:
+    async def _upstream_path_fault(self) -> None:
         index = self.rng.randrange(UPSTREAMS)
-        await self._disturb(self.proxies[index], f"path to u{index}")
+        await self._inject_path_fault(self.proxies[index], f"path to u{index}")
 
-    async def _disturb(self, proxy: Proxy, what: str) -> None:
+    async def _inject_path_fault(self, proxy: Proxy, path: str) -> None:
         mode = self.rng.choice([m for m in Mode if m is not Mode.PASS])
-        self._note(f"{what}: {mode.value}")
+        self._record_event(f"{path}: {mode.value}")
         proxy.mode = mode
         await asyncio.sleep(self.rng.uniform(0.5, 3.0))
         proxy.mode = Mode.PASS
@@ -277,11 +281,11 @@
                 Faults(lose_writes=2),
             ]
         )
-        self._note(f"store: {faults}")
+        self._record_event(f"store: {faults}")
         self.store.faults = faults
         await asyncio.sleep(self.rng.uniform(0.5, 4.0))
         if self.rng.random() < 0.4:
-            self._note("store forgets its history")
+            self._record_event("store drops its history")
             self.store.forget_history()
         self.store.faults = Faults()
 
@@ -291,63 +295,65 @@
             [
                 UpstreamFaults(reset=True),
                 UpstreamFaults(shed=True),
-                UpstreamFaults(extra=True, delay_s=WORK_S),
+                UpstreamFaults(extra=True, delay_s=SERVICE_TIME_S),
                 UpstreamFaults(status=500),
                 UpstreamFaults(delay_s=1.5),
                 UpstreamFaults(answer=b"HTTP/1.1 200 OK\r\n\r\n"),
                 UpstreamFaults(answer=b"\x00\xff\r\n\r\n"),
             ]
         )
-        self._note(f"u{index}: {faults}")
+        self._record_event(f"u{index}: {faults}")
         self.upstreams[index].faults = faults
         await asyncio.sleep(self.rng.uniform(0.5, 3.0))
-        self.upstreams[index].faults = UpstreamFaults(delay_s=WORK_S)
+        self.upstreams[index].faults = UpstreamFaults(delay_s=SERVICE_TIME_S)
 
-    async def _pause(self) -> None:
+    async def _pause_edge(self) -> None:
         edge = self.rng.choice(self.edges)
-        self._note(f"{edge.name} paused")
-        edge.send(signal.SIGSTOP)
+        self._record_event(f"{edge.name} paused")
+        edge.send_signal(signal.SIGSTOP)
         await asyncio.sleep(self.rng.uniform(0.3, 3.0))
-        edge.send(signal.SIGCONT)
+        edge.send_signal(signal.SIGCONT)
 
-    async def _kill(self) -> None:
+    async def _kill_edge(self) -> None:
         edge = self.rng.choice(self.edges)
-        self._note(f"{edge.name} killed")
+        self._record_event(f"{edge.name} killed")
         process = edge.process
-        edge.send(signal.SIGKILL)
+        edge.send_signal(signal.SIGKILL)
         await process.wait()
         await asyncio.sleep(self.rng.uniform(0.0, 1.0))
         await edge.restart(process)
 
-    async def _planned_stop(self) -> None:
+    async def _stop_edge(self) -> None:
         edge = self.rng.choice(self.edges)
         process = edge.process
-        self._note(f"{edge.name} stopped")
+        self._record_event(f"{edge.name} stopped")
         for _ in range(self.rng.randint(1, 3)):
-            edge.send(signal.SIGTERM)
-            edge.send(signal.SIGHUP)
+            edge.send_signal(signal.SIGTERM)
+            edge.send_signal(signal.SIGHUP)
         try:
             await asyncio.wait_for(process.wait(), GRACE_S + 4.0)
         except TimeoutError:
-            self.violations.append(f"{edge.name} outlived its grace period")
+            self.violations.append(
+                f"{edge.name} ran for 4 s past its grace period"
+            )
             return
-        # A kill that overlaps the stop, and a stop before the handlers are
-        # set, end it by the signal.
+        # The signal itself ends the process if a kill overlaps the stop or
+        # if the stop comes before the signal handlers are installed.
         if process.returncode not in (0, -signal.SIGKILL, -signal.SIGTERM):
             self.violations.append(
-                f"{edge.name} ended with {process.returncode}"
+                f"{edge.name} exited with status {process.returncode}"
             )
         await edge.restart(process)
 
-    async def _drain(self) -> None:
+    async def _drain_upstream(self) -> None:
         index = self.rng.randrange(UPSTREAMS)
-        self._note(f"u{index} drains")
+        self._record_event(f"u{index} drained")
         await self.register(index, state="draining")
         await asyncio.sleep(self.rng.uniform(1.0, 4.0))
         await self.register(index, sequence=2)
 
-    async def _new_states(self) -> None:
-        self._note("desired states")
+    async def _publish_states(self) -> None:
+        self._record_event("desired state updated repeatedly")
         for _ in range(self.rng.randint(1, 6)):
             await self.put_state()
             await asyncio.sleep(0.1)
