--- a/standins/load_model.py
+++ b/standins/load_model.py
@@ -127,36 +127,36 @@
         self.long_running = 0
         self._queue: list[_Execution] = []
 
-    def add(self, run: _Execution) -> None:
+    def add(self, execution: _Execution) -> None:
         if self.running >= self.slots:
             self._model.count_queued()
-            self._queue.append(run)
+            self._queue.append(execution)
         else:
-            self._start(run)
+            self._start(execution)
 
-    def cancel(self, run: _Execution) -> None:
-        run.cancelled = True
-        self._model.after(CANCEL_DELAY_S, lambda: self._end(run))
+    def cancel(self, execution: _Execution) -> None:
+        execution.cancelled = True
+        self._model.after(CANCEL_DELAY_S, lambda: self._end(execution))
 
-    def _start(self, run: _Execution) -> None:
+    def _start(self, execution: _Execution) -> None:
         self.running += 1
-        self.long_running += run.is_long
-        if run.is_long and self.long_running > self.long_slots:
+        self.long_running += execution.is_long
+        if execution.is_long and self.long_running > self.long_slots:
             self._model.count_queued()
-        run.started = True
+        execution.started = True
         self._model.count_running(self.region, 1)
         self._model.after(
-            run.duration_s * self.slow_factor,
-            lambda: None if run.cancelled else self._end(run),
+            execution.duration_s * self.slow_factor,
+            lambda: None if execution.cancelled else self._end(execution),
         )
 
-    def _end(self, run: _Execution) -> None:
+    def _end(self, execution: _Execution) -> None:
         self.running -= 1
-        self.long_running -= run.is_long
+        self.long_running -= execution.is_long
         self._model.count_running(self.region, -1)
         if self._queue:
             self._start(self._queue.pop(0))
-        run.done()
+        execution.done()
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
@@ -196,9 +196,9 @@
         load = self._load
         until = self._start + load.warmup_s + load.seconds
         for node in self._nodes:
-            node.arrive(until)
+            node.schedule_arrivals(until)
         if not self._naive:
-            self._tick(until + 12.0)
+            self._publish_snapshots(until + 12.0)
         while self._events:
             at, _, call = heapq.heappop(self._events)
             self._clock.advance(at - self._clock.monotonic())
@@ -283,7 +283,7 @@
                 )
         self.by_name = {n.info.name: n for n in self._nodes}
 
-    def _tick(self, until: float) -> None:
+    def _publish_snapshots(self, until: float) -> None:
         now = self._clock.monotonic()
         free_slots = {
             n.info.name: n.admission.free_slots() for n in self._nodes
@@ -312,7 +312,7 @@
         for node in self._nodes:
             node.publish(zones, now)
         if now < until:
-            self.after(TICK_S, lambda: self._tick(until))
+            self.after(TICK_S, lambda: self._publish_snapshots(until))
 
 
 def _region_type(ticket) -> type:
@@ -320,7 +320,7 @@
 
 
 class _Node:
-    """An instance with its arrivals and its request path."""
+    """An instance with its arriving requests and its request path."""
 
     def __init__(self, model, info, number, count, rates, naive) -> None:
         self._model = model
@@ -355,7 +355,7 @@
         )
         self.admission.update(self._snapshot)
 
-    def arrive(self, until: float) -> None:
+    def schedule_arrivals(self, until: float) -> None:
         """Schedule arrivals, which are the same for both systems."""
         load = self._model._load
         for service, rate in self._rates.items():
@@ -364,13 +364,15 @@
             at = self._clock.monotonic()
             while (at := at + self._rng.expovariate(rate)) < until:
                 request = self._draw_request(service, at, load)
-                duration = SHORT_S * (LONG_FACTOR if request.is_long else 1.0)
-                duration *= self._rng.lognormvariate(
+                duration_s = SHORT_S * (
+                    LONG_FACTOR if request.is_long else 1.0
+                )
+                duration_s *= self._rng.lognormvariate(
                     -(DURATION_SIGMA**2) / 2, DURATION_SIGMA
                 )
                 self._model.after(
                     at - self._clock.monotonic(),
-                    lambda r=request, d=duration: self._accept(r, d),
+                    lambda r=request, d=duration_s: self._accept(r, d),
                 )
 
     def _draw_request(self, service: str, at: float, load: Load) -> _Request:
@@ -394,27 +396,27 @@
             is_measured=at >= self._model._start + load.warmup_s,
         )
 
-    def _accept(self, request: _Request, duration: float) -> None:
+    def _accept(self, request: _Request, duration_s: float) -> None:
         tally = self._model.tally
         if request.is_measured:
             tally.offered += 1
             tally.long_offered += request.is_long
         self.first_attempts += 1
         if self._naive:
-            self._run_naive(request, duration)
+            self._run_naive(request, duration_s)
         else:
             self._budget.deposit()
-            steps = self._place(request, duration)
+            steps = self._place(request, duration_s)
             self._resume(steps)
 
-    def _run_naive(self, request: _Request, duration: float) -> None:
+    def _run_naive(self, request: _Request, duration_s: float) -> None:
         model = self._model
         name = self._choice_rng.choice(
             model._by_region[self.info.region, request.service]
         )
         model.servers[name].add(
             _Execution(
-                duration_s=duration,
+                duration_s=duration_s,
                 is_long=request.is_long,
                 done=lambda: self._finish(request),
             )
@@ -426,12 +428,15 @@
         if delay is not None:
             self._model.after(delay, lambda: self._resume(steps))
 
-    def _place(self, request: _Request, duration: float) -> Iterator[float]:
+    def _place(self, request: _Request, duration_s: float) -> Iterator[float]:
         """Try the own servers, then other instances, then the local queue."""
         work = self._make_work(request)
         try:
             self._send(
-                request, self.admission.try_acquire(work), duration, hedge=True
+                request,
+                self.admission.try_acquire(work),
+                duration_s,
+                hedge=True,
             )
             return
         except ChiverunError:
@@ -456,11 +461,13 @@
             except ChiverunError:
                 yield one_way
                 continue
-            peer._send(request, grant, duration, return_s=one_way)
+            peer._send(request, grant, duration_s, return_s=one_way)
             return
-        self._enqueue(request, work, duration)
+        self._enqueue(request, work, duration_s)
 
-    def _enqueue(self, request: _Request, work: Work, duration: float) -> None:
+    def _enqueue(
+        self, request: _Request, work: Work, duration_s: float
+    ) -> None:
         waiter = None
 
         def notify() -> None:
@@ -469,7 +476,7 @@
         def finish() -> None:
             self.admission.withdraw(waiter)
             if waiter.grant is not None:
-                self._send(request, waiter.grant, duration, hedge=True)
+                self._send(request, waiter.grant, duration_s, hedge=True)
             else:
                 self._reject(request)
 
@@ -497,7 +504,7 @@
         self,
         request: _Request,
         grant: Grant,
-        duration: float,
+        duration_s: float,
         *,
         hedge: bool = False,
         return_s: float = 0.0,
@@ -507,29 +514,32 @@
         attempt = (self, grant, server)
 
         def done() -> None:
-            if run.cancelled:
+            if execution.cancelled:
                 self.admission.release(
                     grant, _CANCELLED, cancelled=True, ended=True
                 )
                 return
             self.admission.release(grant, _OK)
-            for _, _, other, other_run in request.attempts:
-                if other_run is not run and not other_run.cancelled:
-                    other.cancel(other_run)
+            for _, _, other, other_execution in request.attempts:
+                if (
+                    other_execution is not execution
+                    and not other_execution.cancelled
+                ):
+                    other.cancel(other_execution)
             model.after(return_s, lambda: self._finish(request))
 
-        run = _Execution(
-            duration_s=duration,
+        execution = _Execution(
+            duration_s=duration_s,
             is_long=request.request_class.length is Length.LONG,
             done=done,
         )
-        request.attempts.append((*attempt, run))
-        server.add(run)
+        request.attempts.append((*attempt, execution))
+        server.add(execution)
         if hedge:
-            self._schedule_hedge(request, grant, duration)
+            self._schedule_hedge(request, grant, duration_s)
 
     def _schedule_hedge(
-        self, request: _Request, grant: Grant, duration: float
+        self, request: _Request, grant: Grant, duration_s: float
     ) -> None:
         plan = plan_hedge(
             repeatable=request.request_class.repeatable,
@@ -551,7 +561,7 @@
                 self._budget.refund()
                 return
             self.hedges += 1
-            self._send(request, second, duration)
+            self._send(request, second, duration_s)
 
         self._model.after(plan.delay_s, hedge)
 
--- a/standins/measure_capacity.py
+++ b/standins/measure_capacity.py
@@ -50,21 +50,21 @@
 
 def _measure_blocks(count: int, seed: int) -> dict[str, Any]:
     rng = random.Random(seed)
-    before = resident_bytes()
+    before_bytes = resident_bytes()
     state = state_with_blocks(count, rng)
-    with_state = resident_bytes()
+    with_state_bytes = resident_bytes()
     started = time.process_time()
     table = BlockTable()
     table.update(state.of(Site))
     build_s = time.process_time() - started
-    with_table = resident_bytes()
+    with_table_bytes = resident_bytes()
     image = encode_state(state)
     return {
         "measure": "blocks",
         "blocks": count,
         "sites": len(state.of(Site)),
-        "state_mb": round((with_state - before) / 1e6, 2),
-        "table_mb": round((with_table - with_state) / 1e6, 2),
+        "state_mb": round((with_state_bytes - before_bytes) / 1e6, 2),
+        "table_mb": round((with_table_bytes - with_state_bytes) / 1e6, 2),
         "image_mb": round(len(image) / 1e6, 2),
         "build_s": round(build_s, 3),
         "decode_s": round(_cpu_time_s(lambda: decode_state(image)), 3),
--- a/standins/measure_control.py
+++ b/standins/measure_control.py
@@ -76,7 +76,7 @@
         yield _measure_processes(PROCESS_COUNT)
 
 
-def _state(instances: int, zones: int) -> State:
+def _make_state(instances: int, zones: int) -> State:
     ticket = make_ticket(
         seats=2 * instances, servers=max(3, instances // 2), slots=8
     )
@@ -168,8 +168,8 @@
         return tuple(a.peer for a in self._adverts[:2])
 
 
-def _build(seed: int, instances: int, zones: int) -> Planes:
-    planes = Planes(seed=seed, state=_state(instances, zones), load=())
+def _build_planes(seed: int, instances: int, zones: int) -> Planes:
+    planes = Planes(seed=seed, state=_make_state(instances, zones), load=())
     others = _OtherZones(planes=planes, zones=zones)
     planes.seeds = (*planes.seeds, *others.seeds)
     for number in range(instances):
@@ -185,7 +185,7 @@
 def _measure_cost(seed: int, *, instances: int, zones: int) -> dict[str, Any]:
     gc.collect()
     baseline_bytes = _resident_bytes()
-    planes = _build(seed, instances, zones)
+    planes = _build_planes(seed, instances, zones)
     planes.run(_WARMUP_S)
     exchange = planes.exchange
     for counter in (exchange.bytes_sent, exchange.bytes_received):
@@ -222,7 +222,7 @@
 
 
 def _measure_detection(seed: int, instances: int) -> dict[str, Any]:
-    planes = _build(seed, instances, 0)
+    planes = _build_planes(seed, instances, 0)
     planes.run(_DETECT_WARMUP_S)
     killed = planes.lifetimes[instances // 2]
     seats = killed.held
@@ -321,7 +321,7 @@
         send=lambda to, message: peers.send(to, encode_message(message)),
         submit=lambda job: None,
     )
-    plane.handle(StateRead(state=_state(len(ports), 0)))
+    plane.handle(StateRead(state=_make_state(len(ports), 0)))
     time.sleep(1.0)
     usage = resource.getrusage(resource.RUSAGE_SELF)
     used_s = usage.ru_utime + usage.ru_stime
--- a/standins/planes.py
+++ b/standins/planes.py
@@ -223,7 +223,7 @@
         planes: "Planes",
         name: str,
         peer: Address,
-        kind: type[ControlPlane] = ControlPlane,
+        plane_type: type[ControlPlane] = ControlPlane,
         zone: ZoneName = ZONE,
     ) -> None:
         self._planes = planes
@@ -239,7 +239,7 @@
         self.admission = Admission(zone=zone, clock=planes.clock, rng=rng)
         host, _, port = peer.rpartition(":")
         first = int(port)
-        self.plane = kind(
+        self.plane = plane_type(
             identity=Identity(
                 instance=InstanceId(name),
                 boot_id=boot_id,
@@ -387,7 +387,7 @@
         number: int,
         *,
         peer: Address | None = None,
-        kind: type[ControlPlane] = ControlPlane,
+        plane_type: type[ControlPlane] = ControlPlane,
         zone: ZoneName = ZONE,
     ) -> Lifetime:
         """Start an instance; end a previous one at the same address."""
@@ -399,7 +399,7 @@
             planes=self,
             name=f"{zone}-{number:03d}",
             peer=peer,
-            kind=kind,
+            plane_type=plane_type,
             zone=zone,
         )
         self.lifetimes.append(started)
--- a/standins/soak/run.py
+++ b/standins/soak/run.py
@@ -82,11 +82,11 @@
             )
         if result.status == 404:
             environment.violations.append(f"{result.request_id} got 404")
-    late = [r for r in clients.results if r.started_at >= checked_from]
-    served = sum(r.status == 200 for r in late)
-    if not late or served < SERVED_SHARE_MIN * len(late):
+    checked = [r for r in clients.results if r.started_at >= checked_from]
+    served = sum(r.status == 200 for r in checked)
+    if not checked or served < SERVED_SHARE_MIN * len(checked):
         environment.violations.append(
-            f"{served} of {len(late)} requests served after the faults"
+            f"{served} of {len(checked)} requests served after the faults"
         )
 
 
--- a/tests/runtime/test_seat_safety.py
+++ b/tests/runtime/test_seat_safety.py
@@ -93,10 +93,10 @@
         self.assertTrue(is_even, "seats are not held evenly after the faults")
 
     @params(EqualSplitPlane, LeasePlane)
-    def test_naive_version_is_caught(self, kind) -> None:
+    def test_naive_version_is_caught(self, plane_type) -> None:
         """Guards against a log of uses that misses a known violation."""
         planes = Planes(seed=1)
-        started = [planes.start(n, kind=kind) for n in range(3)]
+        started = [planes.start(n, plane_type=plane_type) for n in range(3)]
         planes.run(8.0)
         started[0].is_dead = True
         planes.run(15.0)
