--- a/chiverun/core/blocks.py
+++ b/chiverun/core/blocks.py
@@ -52,7 +52,7 @@
         for text in texts:
             network = ipaddress.IPv4Network(text)
             if str(network) != text:
-                raise ValueError(f"block is {text!r}; valid: {network}")
+                raise ValueError(f"block {text!r}; valid: {network}")
             first = int(network.network_address)
             parts.append(_PACKED_BLOCK.pack(first, network.prefixlen))
         return cls(b"".join(parts))
--- a/chiverun/core/lookup.py
+++ b/chiverun/core/lookup.py
@@ -72,7 +72,7 @@
     except ValueError as exc:
         raise ChiverunError(
             ResultCode.CLIENT_INVALID,
-            f"client is {text!r}; expected an IPv4 address",
+            f"client is {text!r}; valid: an IPv4 address",
         ) from exc
 
 
--- a/chiverun/core/state.py
+++ b/chiverun/core/state.py
@@ -111,7 +111,8 @@
     if ticket.number != state.number + 1:
         raise ChiverunError(
             ResultCode.TICKET_OUT_OF_ORDER,
-            f"ticket number is {ticket.number}; valid: {state.number + 1}",
+            f"ticket number {ticket.number} does not follow "
+            f"{state.number}; valid: {state.number + 1}",
         )
     objects = dict(state.objects)
     for kind in KINDS:
@@ -181,7 +182,7 @@
     try:
         hashed = msgspec.msgpack.decode(data, type=_HashedImage)
         if xxhash.xxh3_128_hexdigest(hashed.image) != hashed.check:
-            raise ValueError(f"hash of the image is not {hashed.check!r}")
+            raise ValueError("its hash does not match")
         image = msgspec.msgpack.decode(
             hashed.image, type=_StateImage, dec_hook=decode_hook
         )
--- a/chiverun/core/ticket.py
+++ b/chiverun/core/ticket.py
@@ -237,9 +237,7 @@
     if not isinstance(value, list) or not all(
         isinstance(v, str) for v in value
     ):
-        raise ValueError(
-            'blocks: expected a list of CIDR blocks such as ["10.1.0.0/16"]'
-        )
+        raise ValueError('blocks; valid: a list such as ["10.1.0.0/16"]')
     return Blocks.parse(value)
 
 
--- a/chiverun/core/ticketbase.py
+++ b/chiverun/core/ticketbase.py
@@ -56,9 +56,8 @@
     if (state.number, state.digest) != (base.number, base.digest):
         raise ChiverunError(
             ResultCode.TICKET_MALFORMED,
-            f"base in the store: ticket {state.number} with digest "
-            f"{state.digest!r}; its pointer has ticket {base.number} with "
-            f"digest {base.digest!r}",
+            f"base in the store: number {state.number}, its pointer says "
+            f"{base.number}",
         )
     return state
 
--- a/chiverun/core/ticketentry.py
+++ b/chiverun/core/ticketentry.py
@@ -47,8 +47,8 @@
     if result.digest != entry.digest:
         raise ChiverunError(
             ResultCode.TICKET_FORK,
-            f"ticket {entry.number} with digest {entry.digest!r} does not "
-            f"follow ticket {state.number} with digest {state.digest!r}",
+            f"ticket {entry.number} does not continue the state of ticket "
+            f"{state.number} with digest {state.digest!r}",
         )
     return result
 
@@ -69,6 +69,6 @@
     """Return the error for an entry outside the history of a state."""
     return ChiverunError(
         ResultCode.TICKET_FORK,
-        f"ticket {entry.number} in the store differs from the history of "
+        f"the store has another ticket {entry.number} than the history of "
         f"ticket {state.number} in force",
     )
--- a/chiverun/core/ticketrecords.py
+++ b/chiverun/core/ticketrecords.py
@@ -68,8 +68,7 @@
         if entry.number != number:
             raise ChiverunError(
                 ResultCode.TICKET_MALFORMED,
-                f"entry in the store: the key of ticket {number} holds ticket "
-                f"{entry.number}",
+                f"entry in the store: key {number} holds {entry.number}",
             )
         return entry
 
--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -161,9 +161,8 @@
                 428,
                 Outcome.NOT_RUN,
                 ResultCode.KEY_REQUIRED,
-                f"class {request.work.request_class.name} is not "
-                "repeatable and needs an Idempotency-Key header; POST "
-                "/v1/keys issues keys",
+                f"class {request.work.request_class.name} may not be "
+                "repeated; get an Idempotency-Key by POST /v1/keys",
             )
         parts = parse_key(key)
         if parts is not None and parts.instance != self._identity.instance:
@@ -225,17 +224,15 @@
         """
         if req.header(ISSUER_HEADER.lower()):
             # The forwarding instance has an outdated address of the issuer.
-            return unknown_outcome_response(
-                key, "the address of its issuer is outdated"
-            )
+            return unknown_outcome_response(key, "its issuer has moved")
         issuer = self._issuers.find(instance)
         if issuer is None:
             return unknown_outcome_response(
-                key, "its issuer is not known to be alive"
+                key, "its issuer is not known to be live"
             )
         if self._pace_request(issuer, request) is not None:
             return unknown_outcome_response(
-                key, "the link to its issuer has no free capacity"
+                key, "the link to its issuer has no room"
             )
         headers = backend_headers(req.headers)
         self._set_region_headers(headers, request.work)
@@ -262,7 +259,7 @@
             case PeerRefused(code=ResultCode.REQUEST_MALFORMED):
                 # The issuer rejected the request before it looked up the key.
                 return unknown_outcome_response(
-                    key, "its issuer rejected the request as malformed"
+                    key, "its issuer could not read it"
                 )
             case Answered() | PeerRefused():
                 return to_response(make_result(end))
--- a/chiverun/runtime/execution.py
+++ b/chiverun/runtime/execution.py
@@ -296,7 +296,5 @@
         The text is not a number of milliseconds.
     """
     if not (text.isascii() and text.isdigit() and len(text) <= 15):
-        raise ValueError(
-            f"deadline is {text!r}; valid: milliseconds since the epoch"
-        )
+        raise ValueError(f"deadline is {text!r}; valid: milliseconds")
     return clock.monotonic() + int(text) / 1000.0 - clock.wall()
--- a/chiverun/runtime/forward.py
+++ b/chiverun/runtime/forward.py
@@ -83,7 +83,7 @@
                     503,
                     Outcome.NOT_RUN,
                     ResultCode.LEAVING,
-                    "this instance is stopping; retry at another instance",
+                    "this instance is stopping; ask another",
                 )
             self.in_flight += 1
         try:
@@ -135,15 +135,13 @@
     def _parse_work(self, req: IncomingRequest) -> Work:
         state = self._plane.snapshot.state
         if self._zone not in state.of(Zone):
-            raise ValueError(
-                f"zone {self._zone!r} is not declared by any ticket"
-            )
+            raise ValueError(f"zone {self._zone!r} is in no ticket")
         name = ServiceName(
             req.path.removeprefix(_FORWARD_PREFIX).split("/", 1)[0]
         )
         service = state.of(Service).get(name)
         if service is None:
-            raise ValueError(f"service {name!r} is not declared by any ticket")
+            raise ValueError(f"service {name!r} is unknown")
         request_class = _find_class(service, req.header(CLASS_HEADER.lower()))
         deadline = deadline_from_epoch(
             self._clock, req.header("x-deadline-epoch-ms")
@@ -165,9 +163,7 @@
     for request_class in service.classes:
         if request_class.name == name:
             return request_class
-    raise ValueError(
-        f"class {name!r} is not declared by service {service.name}"
-    )
+    raise ValueError(f"class {name!r} of service {service.name} is unknown")
 
 
 def pace_response(
@@ -195,7 +191,7 @@
             503,
             refusal_outcome,
             ResultCode.LINK_CAP,
-            f"link to {target} has no free capacity",
+            f"link to {target} has no room",
         )
     try:
         response = run()
@@ -211,7 +207,7 @@
         502,
         Outcome.UNKNOWN,
         ResultCode.BACKEND_TIMEOUT,
-        f"the link to {target} cannot carry the response before its deadline",
+        f"the response was too late for the link to {target}",
     )
 
 
--- a/chiverun/runtime/gossip.py
+++ b/chiverun/runtime/gossip.py
@@ -189,5 +189,5 @@
         ticketspread.record_fork(
             ctx,
             f"instance {content.sender.instance} has another ticket "
-            f"{content.number} than this instance",
+            f"{content.number}",
         )
--- a/chiverun/runtime/public.py
+++ b/chiverun/runtime/public.py
@@ -93,7 +93,7 @@
                 503,
                 Outcome.NOT_RUN,
                 ResultCode.NOT_READY,
-                "no instance is known that can serve requests",
+                "no instance is known to serve",
             )
         return json_response(result)
 
@@ -109,7 +109,7 @@
                 503,
                 Outcome.NOT_RUN,
                 ResultCode.LEAVING,
-                "this instance is stopping; retry at another instance",
+                "this instance is stopping; ask another",
             )
         reasons = self._startup_reasons()
         if reasons:
@@ -119,7 +119,7 @@
                 503,
                 Outcome.NOT_RUN,
                 ResultCode.NOT_READY,
-                f"{', '.join(reasons)}; retry at another instance",
+                f"{', '.join(reasons)}; ask another instance",
             )
         identity = self._sources.plane.identity
         keys = self._keys.issue(int(text))
@@ -128,7 +128,7 @@
                 503,
                 Outcome.NOT_RUN,
                 ResultCode.NO_CAPACITY,
-                "the key table is full; retry at another instance",
+                "the key table is full; ask another instance",
             )
         return json_response(
             {
@@ -147,9 +147,7 @@
         plane = self._sources.plane
         reasons = self._startup_reasons()
         if plane.seats.suspended_at is not None:
-            reasons.append(
-                "the seats are suspended after a pause of the process"
-            )
+            reasons.append("seats are suspended after a pause")
         if plane.is_leaving:
             reasons.append("the instance is leaving")
         if plane.fork:
@@ -164,9 +162,9 @@
         plane = self._sources.plane
         reasons = []
         if plane.state.number == 0:
-            reasons.append("no ticket is in force at this instance")
+            reasons.append("no ticket is in force here")
         if not plane.seats.held:
-            reasons.append("this instance holds no seat")
+            reasons.append("no seat is held")
         return reasons
 
 
--- a/chiverun/runtime/request.py
+++ b/chiverun/runtime/request.py
@@ -99,7 +99,7 @@
         if zone is None:
             raise ChiverunError(
                 ResultCode.NOT_READY,
-                f"zone {self._zone!r} is not in any ticket",
+                f"zone {self._zone} is in no ticket",
             )
         return zone.region
 
--- a/chiverun/runtime/ticketspread.py
+++ b/chiverun/runtime/ticketspread.py
@@ -99,7 +99,7 @@
         record_fork(
             ctx,
             f"a state of ticket {state.number} has another ticket "
-            f"{before.number} than this instance",
+            f"{before.number}",
         )
         return
     if is_continuation is None:
--- a/tests/runtime/test_ticketspread.py
+++ b/tests/runtime/test_ticketspread.py
@@ -385,7 +385,7 @@
         net.platform.admin({"restore": True})
         net.submit(author="b")
         net.watches["z0-0"].step(0)
-        self.assertIn("ticket 2 in the store differs", net.planes["z0-0"].fork)
+        self.assertIn("another ticket 2", net.planes["z0-0"].fork)
 
     def test_unexpected_errors_are_caught(self):
         """Guards against an exception that ends the thread of the watch."""
