--- a/chiverun/core/dissemination.py
+++ b/chiverun/core/dissemination.py
@@ -51,8 +51,8 @@
 CHUNK_BYTES = 256 * 1024
 # Limits the memory for the chunks of a state.
 CHUNKS_MAX = 256
-DRAIN_SIGN_S = 10.0
-DRAIN_SIGNS_PER_MESSAGE = 16
+DRAIN_NOTICE_S = 10.0
+DRAIN_NOTICES_PER_MESSAGE = 16
 
 
 def select_adverts(
@@ -262,25 +262,25 @@
     )
 
 
-def merge_drain_signs(
-    table: DrainTable, signs: tuple[DrainNotice, ...], now: float
+def merge_drain_notices(
+    table: DrainTable, notices: tuple[DrainNotice, ...], now: float
 ) -> None:
     """Merge the drain notices of other instances."""
-    for notice in signs:
-        until = now + DRAIN_SIGN_S - notice.age_ms / 1000.0
+    for notice in notices:
+        until = now + DRAIN_NOTICE_S - notice.age_ms / 1000.0
         if until > max(now, table.until.get(notice.server, 0.0)):
             table.until[notice.server] = until
 
 
-def select_drain_signs(
+def select_drain_notices(
     table: DrainTable, now: float
 ) -> tuple[DrainNotice, ...]:
     """Return the drain notices to forward, newest first."""
     newest = sorted(table.until.items(), key=lambda item: -item[1])
     return tuple(
         DrainNotice(
-            server=server, age_ms=int((now + DRAIN_SIGN_S - until) * 1000)
+            server=server, age_ms=int((now + DRAIN_NOTICE_S - until) * 1000)
         )
-        for server, until in newest[:DRAIN_SIGNS_PER_MESSAGE]
+        for server, until in newest[:DRAIN_NOTICES_PER_MESSAGE]
         if until > now
     )
--- a/chiverun/core/health.py
+++ b/chiverun/core/health.py
@@ -36,9 +36,9 @@
 EJECT_S = 2.0
 EJECT_MAX_S = 30.0
 SLOW_START_S = 5.0
-# Validity of a drain sign from an exchange or a health check, so that one
+# Validity of a drain notice from an exchange or a health check, so that one
 # delayed "healthy" report does not restore the server.
-DRAIN_SIGN_S = 10.0
+DRAIN_NOTICE_S = 10.0
 SHED_PAUSE_S = 0.2
 
 
@@ -192,7 +192,7 @@
 
 def mark_draining(row: ServerHealth, now: float) -> None:
     """Record that the server has announced that it is draining."""
-    row.draining_until = now + DRAIN_SIGN_S
+    row.draining_until = now + DRAIN_NOTICE_S
     row.returned_at = row.draining_until
 
 
--- a/chiverun/core/tables.py
+++ b/chiverun/core/tables.py
@@ -243,6 +243,6 @@
 
 @dataclasses.dataclass(kw_only=True)
 class DrainTable:
-    """Draining servers, and the expiry of each drain sign."""
+    """Draining servers, and the expiry of each drain notice."""
 
     until: dict[ServerName, float] = dataclasses.field(default_factory=dict)
--- a/chiverun/runtime/drainsystem.py
+++ b/chiverun/runtime/drainsystem.py
@@ -31,7 +31,7 @@
     until = ctx.drains.until
     is_new = any(until.get(s, now) <= now for s in servers)
     for server in servers:
-        until[server] = now + dissemination.DRAIN_SIGN_S
+        until[server] = now + dissemination.DRAIN_NOTICE_S
     if is_new:
         publishing.publish(ctx, now)
         gossip.ping_zone(ctx)
--- a/chiverun/runtime/gossip.py
+++ b/chiverun/runtime/gossip.py
@@ -55,7 +55,7 @@
         holders_digest=seat_rules.holders_digest(ctx.seats),
         updates=membership.next_updates(ctx.members, about),
         adverts=dissemination.select_adverts(ctx.members, now, ctx.rng),
-        draining=dissemination.select_drain_signs(ctx.drains, now),
+        draining=dissemination.select_drain_notices(ctx.drains, now),
     )
 
 
@@ -114,7 +114,7 @@
             _refute(ctx, update.incarnation, update.state)
         else:
             membership.merge_update(ctx.members, update, now)
-    dissemination.merge_drain_signs(ctx.drains, content.draining, now)
+    dissemination.merge_drain_notices(ctx.drains, content.draining, now)
     _check_fork(ctx, content)
     ticketspread.pull_if_behind(ctx, content.sender.peer, content.number)
     if content.sender.zone == zone and not knows_same_holders(ctx, content):
