--- a/chiverun/core/links.py
+++ b/chiverun/core/links.py
@@ -162,7 +162,7 @@
             bytes_max = min(bytes_max, expected)
         return self.reserve(target, bytes_max, limit_s)
 
-    def note_response(self, name: str, actual_bytes: int) -> None:
+    def record_response(self, name: str, actual_bytes: int) -> None:
         """Record the actual size of a response of a class."""
         with self._lock:
             self._sizes.record(name, actual_bytes, self._clock.monotonic())
--- a/chiverun/core/peertable.py
+++ b/chiverun/core/peertable.py
@@ -11,7 +11,7 @@
 from chiverun.core.edgemessages import Heartbeat
 from chiverun.core.ids import InstanceId
 
-BEAT_PERIOD_S = 0.5
+HEARTBEAT_PERIOD_S = 0.5
 # Four heartbeats are missing.
 SILENT_AFTER_S = 2.2
 # After this time without the relay, machines read the store themselves and
@@ -27,7 +27,7 @@
 class PeerRow:
     """Another machine; `heard_at` is monotonic seconds."""
 
-    beat: Heartbeat
+    heartbeat: Heartbeat
     heard_at: float
 
 
@@ -50,25 +50,25 @@
         self._machines: dict[InstanceId, Machine] = {me.name: me}
         self._known: set[InstanceId] = {me.name}
 
-    def note_beat(self, beat: Heartbeat, now: float) -> bool:
+    def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
         """Record a heartbeat; return whether the machine was silent before."""
-        name = beat.machine.name
+        name = heartbeat.machine.name
         if name == self.me.name:
             return False
         row = self.rows.get(name)
         was_live = row is not None and now - row.heard_at < SILENT_AFTER_S
-        self.rows[name] = PeerRow(beat=beat, heard_at=now)
-        self._machines.setdefault(name, beat.machine)
+        self.rows[name] = PeerRow(heartbeat=heartbeat, heard_at=now)
+        self._machines.setdefault(name, heartbeat.machine)
         self._known.add(name)
         return not was_live
 
-    def note_list(
+    def record_live_list(
         self, hub: InstanceId, names: list[InstanceId], now: float
     ) -> None:
         """Record the list of live machines of a hub."""
         self.lists[hub] = LiveList(names=frozenset(names), heard_at=now)
 
-    def note_machines(self, machines: list[Machine]) -> None:
+    def record_machines(self, machines: list[Machine]) -> None:
         """Record the registered machines, whether live or not."""
         for machine in machines:
             self._machines[machine.name] = machine
@@ -88,8 +88,8 @@
         return [
             name
             for name, row in self.rows.items()
-            if row.beat.machine.region == self.me.region
-            and not row.beat.leaving
+            if row.heartbeat.machine.region == self.me.region
+            and not row.heartbeat.leaving
             and now - row.heard_at < SILENT_AFTER_S
         ]
 
@@ -99,7 +99,9 @@
         for row in self.lists.values():
             if now - row.heard_at < SILENT_AFTER_S:
                 names |= row.names
-        leaving = {name for name, row in self.rows.items() if row.beat.leaving}
+        leaving = {
+            name for name, row in self.rows.items() if row.heartbeat.leaving
+        }
         return [
             self._machines[name]
             for name in sorted(names - leaving - {self.me.name})
@@ -143,7 +145,7 @@
         readers = [
             name
             for name in self.heard(now)
-            if self.rows[name].beat.reads_store
+            if self.rows[name].heartbeat.reads_store
         ]
         if not readers:
             return True
@@ -156,7 +158,7 @@
         limit_s = RELAY_SILENT_AFTER_S + rank * RELAY_RANK_S
         return now - self.relay_heard_at > limit_s
 
-    def beat_targets(self, now: float) -> list[Machine]:
+    def heartbeat_targets(self, now: float) -> list[Machine]:
         """Return the machines to send heartbeats to."""
         if now - self.relay_heard_at > RELAY_SILENT_AFTER_S:
             return self.region()
--- a/chiverun/core/sendbudget.py
+++ b/chiverun/core/sendbudget.py
@@ -40,7 +40,7 @@
         self._requests: collections.deque[float] = collections.deque()
         self._extra_sends: collections.deque[float] = collections.deque()
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a client's request for the service."""
         self._requests.append(now)
         self._expire(now)
--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -387,7 +387,7 @@
         )
         for target in self._shifts.targets(snapshot, work, now):
             attempt = self._forward(target, request)
-            self._shifts.note(snapshot, target, work, attempt.end)
+            self._shifts.record_result(snapshot, target, work, attempt.end)
             yield attempt
         local = self._executor.run(
             work, request.content, excluded, may_wait=False, hedge=hedge
--- a/chiverun/runtime/follower.py
+++ b/chiverun/runtime/follower.py
@@ -23,7 +23,7 @@
 from chiverun.core.edgemessages import Update
 from chiverun.core.ids import Address
 from chiverun.core.ids import BootId
-from chiverun.core.peertable import BEAT_PERIOD_S
+from chiverun.core.peertable import HEARTBEAT_PERIOD_S
 from chiverun.core.peertable import PeerTable
 from chiverun.core.replica import Evacuation
 from chiverun.core.replica import LAPSE_GRACE_S
@@ -126,7 +126,7 @@
             if dropped:
                 _LOG.info("lapsed servers dropped", extra={"keys": dropped})
                 self._on_change()
-            await asyncio.sleep(BEAT_PERIOD_S)
+            await asyncio.sleep(HEARTBEAT_PERIOD_S)
 
     def send_heartbeats(self) -> None:
         """Send a heartbeat to the machines that expect it."""
@@ -138,7 +138,7 @@
                 reads_store=self._reads_store,
             )
         )
-        targets = self.table.beat_targets(self._loop.time())
+        targets = self.table.heartbeat_targets(self._loop.time())
         addresses = {machine.peer for machine in targets}
         if not addresses:
             addresses = set(self._seeds)
@@ -304,8 +304,8 @@
 
     def _handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         row = self.table.rows.get(heartbeat.machine.name)
-        was_leaving = row is not None and row.beat.leaving
-        is_new = self.table.note_beat(heartbeat, self._loop.time())
+        was_leaving = row is not None and row.heartbeat.leaving
+        is_new = self.table.record_heartbeat(heartbeat, self._loop.time())
         if is_new or was_leaving != heartbeat.leaving:
             self._live_list_changed = True
             _LOG.info(
@@ -324,7 +324,7 @@
             row = self.table.rows.get(update.sender)
             if row is not None:
                 self._peers.send(
-                    row.beat.machine.peer,
+                    row.heartbeat.machine.peer,
                     edgemessages.encode(
                         Pull(reply_to=self._me.peer, as_of=self.replica.as_of)
                     ),
@@ -332,7 +332,7 @@
             return
         self.table.relay_heard_at = now
         if update.live is not None:
-            self.table.note_list(update.sender, update.live, now)
+            self.table.record_live_list(update.sender, update.live, now)
         if update.lapse_left_s > 0:
             self._lapse_until = max(
                 self._lapse_until, now + update.lapse_left_s
@@ -368,7 +368,7 @@
     ) -> None:
         if not changed:
             return
-        self.table.note_machines(self.replica.machines())
+        self.table.record_machines(self.replica.machines())
         for item in changed:
             _LOG.info(
                 "record changed",
--- a/chiverun/runtime/forward.py
+++ b/chiverun/runtime/forward.py
@@ -200,7 +200,7 @@
         raise
     actual = message_bytes(response.headers, response.body)
     if response.status == 200:
-        links.note_response(name, actual)
+        links.record_response(name, actual)
     if links.pace(reservation, actual, work.deadline):
         return response
     return error_response(
--- a/chiverun/runtime/shifting.py
+++ b/chiverun/runtime/shifting.py
@@ -57,7 +57,7 @@
             targets = shift_targets(snapshot, self._instance, shift, now)
             return select_targets(progress, targets, now)
 
-    def note(
+    def record_result(
         self,
         snapshot: "Snapshot",
         target: Target,
--- a/chiverun/runtime/steering.py
+++ b/chiverun/runtime/steering.py
@@ -165,7 +165,7 @@
             f"{route.host}{route.prefix}", route.parts
         )
         budget = self._budget(service)
-        budget.note_request(self._loop.time())
+        budget.record_request(self._loop.time())
         deadline_s = metadata.deadline_s or DEADLINE_DEFAULT_S
         limit_s = min(deadline_s, route.timeout_s + TIMEOUT_SLACK_S)
         return Request(
--- a/tests/core/test_limits.py
+++ b/tests/core/test_limits.py
@@ -195,7 +195,7 @@
             if held is None:
                 break
             admitted += 1
-            self.links.note_response("s/long", 2048)
+            self.links.record_response("s/long", 2048)
         self.assertEqual(60, admitted)
         self.assertIsNotNone(self.links.reserve("b", 65536, 2.0))
 
@@ -220,7 +220,7 @@
         Sent in one piece, the response would exceed the rate.
         """
         self._update(range(6))
-        self.links.note_response("s/huge", 2_000_000)
+        self.links.record_response("s/huge", 2_000_000)
         held = self.links.reserve_response("b", "s/huge", 10**7, 9.0)
         self.assertIsNone(held)
         first = self.links.reserve("b", 10, 9.0)
--- a/tests/core/test_sendbudget.py
+++ b/tests/core/test_sendbudget.py
@@ -26,7 +26,7 @@
         for tick in range(3000):
             now = tick * 0.01
             budget = rng.choice(budgets)
-            budget.note_request(now)
+            budget.record_request(now)
             requests.append(now)
             while budget.try_consume(now, machines):
                 further.append(now)
--- a/tests/runtime/test_follower.py
+++ b/tests/runtime/test_follower.py
@@ -183,13 +183,13 @@
 
     async def test_missed_update_triggers_a_pull(self) -> None:
         await self._load_catalog()
-        beat = Heartbeat(
+        heartbeat = Heartbeat(
             machine=_machine("m1"),
             boot_id="l9",
             leaving=False,
             reads_store=True,
         )
-        self._receive(beat)
+        self._receive(heartbeat)
         self.peers.sent.clear()
         self._receive(self._update(8, 9, _items(("servers/a", 9, None))))
         self.assertEqual(self._servers(), ["a"])
