--- a/chiverun/core/membership.py
+++ b/chiverun/core/membership.py
@@ -69,7 +69,7 @@
     row.advert = advert
     if row.boot_id != advert.boot_id:
         row.boot_id = advert.boot_id
-        row.noted_sequence = table.sequence
+        row.boot_seen_sequence = table.sequence
     if row.zone != advert.zone:
         row.zone = advert.zone
         table.add(row)
@@ -246,7 +246,7 @@
         if row.peer != sender.peer or row.boot_id is None:
             continue
         if row.boot_id != sender.boot_id:
-            if row.noted_sequence < sequence:
+            if row.boot_seen_sequence < sequence:
                 record_ended(table, row.boot_id)
                 if row.advert is None:
                     table.remove(row.instance)
--- a/chiverun/core/seats.py
+++ b/chiverun/core/seats.py
@@ -49,15 +49,15 @@
 # the detection time.
 DEAD_BEFORE_CLAIM_S = 1.0
 # Time for a live holder, wrongly declared dead, to learn of a claim.
-NEWS_MARGIN_S = 2.0
-LISTEN_S = 3.0
+CLAIM_NOTICE_MARGIN_S = 2.0
+CLAIM_LISTEN_S = 3.0
 # Time for a live instance to accept a seat transferred to it, before other
 # instances may claim the seat.
 UNCOVERED_S = 10.0
 # A claim raises the epoch by more than the number of transfers that a live
 # holder, wrongly declared dead, can make before it learns of the claim. The
 # claim thus has a higher epoch than all of them.
-CLAIM_EPOCHS = 64
+CLAIM_EPOCH_STEP = 64
 # Limits the table entries that messages can create.
 SEATS_MAX = 4096
 OLD_DEADLINES_MAX = 32
@@ -90,7 +90,7 @@
     """
 
     missing: frozenset[SeatIndex]
-    most: int
+    claims_max: int
     rank: int
     live: int
     ended: frozenset[BootId]
@@ -171,7 +171,7 @@
     return covered
 
 
-def ended_lives(
+def ended_boots(
     members: MemberTable, zone: ZoneName, now: float
 ) -> frozenset[BootId]:
     """Return the boot IDs of processes that have ended or count as dead.
@@ -194,7 +194,7 @@
 
 
 def select_claims(
-    record: SeatRecord, plan: ClaimPlan, me: Owner
+    record: SeatRecord, plan: ClaimPlan, claimant: Owner
 ) -> list[Claim]:
     """Return the seats to claim, given the store's record.
 
@@ -206,43 +206,45 @@
     record : SeatRecord
         The record as last read from the store.
     plan : ClaimPlan
-    me : Owner
-        The claimant.
+    claimant : Owner
+        Owner entry of the claiming process.
     """
     claims = []
     for seat in sorted(
         plan.missing, key=lambda s: (s % plan.live != plan.rank, s)
     ):
         owner = record.owners.get(seat)
-        is_own = owner is not None and owner.boot_id == me.boot_id
-        if len(claims) >= plan.most and not is_own:
+        is_own = owner is not None and owner.boot_id == claimant.boot_id
+        if len(claims) >= plan.claims_max and not is_own:
             continue
-        if owner is not None and not _has_ended(owner, plan, me):
+        if owner is not None and not _has_ended(owner, plan, claimant):
             continue
         holder = plan.known_holders.get(seat, SeatHolder(0, BootId("")))
         epoch = record.epoch(seat)
         if (
             holder.epoch > epoch
             and holder.boot_id not in plan.ended
-            and holder.boot_id != me.boot_id
+            and holder.boot_id != claimant.boot_id
             and seat not in plan.overdue
         ):
             continue
         epoch = max(epoch, holder.epoch)
         claims.append(
-            Claim(seat=seat, epoch=epoch + CLAIM_EPOCHS, was_used=epoch > 0)
+            Claim(
+                seat=seat, epoch=epoch + CLAIM_EPOCH_STEP, was_used=epoch > 0
+            )
         )
     return claims
 
 
-def _has_ended(owner: Owner, plan: ClaimPlan, me: Owner) -> bool:
+def _has_ended(owner: Owner, plan: ClaimPlan, claimant: Owner) -> bool:
     # An owner with this process's address is an earlier process, since only
     # one process at a time can bind an address. An equal instance name is no
     # proof: a replacement on another host may have the same name.
     return (
         owner.boot_id in plan.ended
-        or me.boot_id == owner.boot_id
-        or (owner.peer == me.peer)
+        or claimant.boot_id == owner.boot_id
+        or (owner.peer == claimant.peer)
     )
 
 
@@ -362,7 +364,7 @@
         short_s = max(
             short_s, long_s if old.long_slots_changed else old.short_s
         )
-    margin_s = CLOCK_MARGIN_S + NEWS_MARGIN_S
+    margin_s = CLOCK_MARGIN_S + CLAIM_NOTICE_MARGIN_S
     short_opens_at = now + max(short_s + margin_s, SHIFT_WINDOW_S)
     return Held(
         epoch=claim.epoch,
--- a/chiverun/core/tables.py
+++ b/chiverun/core/tables.py
@@ -20,8 +20,8 @@
     """Row of an instance; times are monotonic seconds.
 
     `advert` is None for an instance known only from the seat record.
-    `measured_at` is the creation time of the advert. `noted_sequence` is the
-    number of the last ping sent before `boot_id` was learned, and
+    `measured_at` is the creation time of the advert. `boot_seen_sequence` is
+    the number of the last ping sent before `boot_id` became known, and
     `synced_sequence` that of the last ping whose acknowledgement showed equal
     seat holders. `checks` counts the pings since the member was declared
     dead.
@@ -35,7 +35,7 @@
     state: MemberState = MemberState.ALIVE
     state_since: float = 0.0
     acked_at: float = float("-inf")
-    noted_sequence: int = 0
+    boot_seen_sequence: int = 0
     synced_sequence: int = -1
     checks: int = 0
     checked_at: float = float("-inf")
@@ -196,12 +196,13 @@
     """Seats of this instance.
 
     `known_holders` has the latest known holder of each seat, and `digest`
-    their hash (None until computed). `taken` has the epochs of accepted
-    transfers, so that none is accepted twice. `gained_seats` has recently
-    gained seats with the number of announcements left. While `suspended_at`
-    is set, the seats may not be used; acknowledgements of pings numbered
-    above `suspended_sequence` were sent after the pause. `unwritten` (owners)
-    and `unwritten_releases` are still to be written to the store's record.
+    their hash (None until computed). `accepted_transfers` has the epochs of
+    accepted transfers, so that none is accepted twice. `gained_seats` has
+    recently gained seats with the number of announcements left. While
+    `suspended_at` is set, the seats may not be used; acknowledgements of
+    pings numbered above `suspended_sequence` were sent after the pause.
+    `unwritten_owners` and `unwritten_releases` are still to be written to
+    the store's record.
     """
 
     held: dict[SeatIndex, Held] = dataclasses.field(default_factory=dict)
@@ -215,7 +216,9 @@
         default_factory=dict
     )
     digest: int | None = None
-    taken: dict[SeatIndex, int] = dataclasses.field(default_factory=dict)
+    accepted_transfers: dict[SeatIndex, int] = dataclasses.field(
+        default_factory=dict
+    )
     gained_seats: dict[SeatIndex, int] = dataclasses.field(
         default_factory=dict
     )
@@ -232,7 +235,9 @@
     requested_at: float = float("-inf")
     read_pending_since: float | None = None
     read_at: float = float("-inf")
-    unwritten: dict[SeatIndex, Owner] = dataclasses.field(default_factory=dict)
+    unwritten_owners: dict[SeatIndex, Owner] = dataclasses.field(
+        default_factory=dict
+    )
     unwritten_releases: dict[SeatIndex, int] = dataclasses.field(
         default_factory=dict
     )
--- a/chiverun/runtime/events.py
+++ b/chiverun/runtime/events.py
@@ -19,14 +19,14 @@
     """Claim seats in the zone's record in the store."""
 
     plan: seat_rules.ClaimPlan
-    me: Owner
+    claimant: Owner
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReadSeats:
-    """Read the zone's seat record; the report repeats `asked_at`."""
+    """Read the zone's seat record; the report repeats `requested_at`."""
 
-    asked_at: float
+    requested_at: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -56,7 +56,7 @@
     """Result of a `ReadSeats` job; `record` is None if it is unreadable."""
 
     record: "SeatRecord | None"
-    asked_at: float
+    requested_at: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/chiverun/runtime/seatsystem.py
+++ b/chiverun/runtime/seatsystem.py
@@ -153,7 +153,7 @@
         m for m in rows if m.synced_sequence <= seats.suspended_sequence
     ]
     silent = [m for m in rows if m.acked_at < seats.suspended_at]
-    has_listened = now - seats.suspended_at >= seat_rules.LISTEN_S
+    has_listened = now - seats.suspended_at >= seat_rules.CLAIM_LISTEN_S
     if seats.is_record_read and (has_listened or not unsynced):
         _confirm(ctx, "store")
     elif has_listened and not unsynced and rows:
@@ -194,16 +194,18 @@
         return
     sharing = _sharing_members(ctx)
     live = 1 + len(sharing)
-    most = max(0, seat_rules.share(zone.seats, live) - len(seats.held))
-    period_s = seat_rules.CLAIM_PERIOD_S if most else _EXCESS_CLAIM_PERIOD_S
+    claims_max = max(0, seat_rules.share(zone.seats, live) - len(seats.held))
+    period_s = (
+        seat_rules.CLAIM_PERIOD_S if claims_max else _EXCESS_CLAIM_PERIOD_S
+    )
     seats.claim_at = now + period_s * ctx.rng.uniform(0.7, 1.3)
     seats.claim_pending_since = now
     plan = seat_rules.ClaimPlan(
         missing=frozenset(missing),
-        most=most,
+        claims_max=claims_max,
         rank=sum(1 for m in sharing if m.instance < ctx.identity.instance),
         live=live,
-        ended=seat_rules.ended_lives(ctx.members, zone.name, now),
+        ended=seat_rules.ended_boots(ctx.members, zone.name, now),
         known_holders=dict(seats.known_holders),
         overdue=frozenset(
             s
@@ -211,7 +213,7 @@
             if now - since >= seat_rules.UNCOVERED_S
         ),
     )
-    ctx.submit(ClaimSeats(plan=plan, me=seattransfer.own_owner(ctx, 0)))
+    ctx.submit(ClaimSeats(plan=plan, claimant=seattransfer.own_owner(ctx, 0)))
 
 
 def _may_claim(ctx: "ControlContext", now: float) -> bool:
@@ -250,7 +252,7 @@
 def _read_record(ctx: "ControlContext", now: float) -> None:
     ctx.seats.read_pending_since = now
     ctx.seats.read_at = now
-    ctx.submit(ReadSeats(asked_at=now))
+    ctx.submit(ReadSeats(requested_at=now))
 
 
 def _read_record_if_due(ctx: "ControlContext", now: float) -> None:
@@ -297,7 +299,7 @@
         _inform_former_holders(ctx)
         _repair_record(ctx, report.record)
         return
-    if report.asked_at < since:
+    if report.requested_at < since:
         return
     # After a restore of the store, another owner may have claimed a seat with
     # a lower epoch. Giving up the seat is always safe.
@@ -369,7 +371,7 @@
                 incarnation=owner.incarnation,
                 boot_id=owner.boot_id,
                 state_since=now,
-                noted_sequence=ctx.members.sequence,
+                boot_seen_sequence=ctx.members.sequence,
             )
         )
         ctx.members.probe_order.append(name)
--- a/chiverun/runtime/seattransfer.py
+++ b/chiverun/runtime/seattransfer.py
@@ -221,7 +221,7 @@
     ack = SeatTransferAck(
         seat=message.seat, epoch=message.epoch, boot_id=message.boot_id
     )
-    if message.epoch <= ctx.seats.taken.get(message.seat, 0):
+    if message.epoch <= ctx.seats.accepted_transfers.get(message.seat, 0):
         ctx.send(message.previous_holder, ack)
         return
     known = ctx.seats.known_holders.get(message.seat)
@@ -230,7 +230,7 @@
     ):
         return
     now = ctx.clock.monotonic()
-    ctx.seats.taken[message.seat] = message.epoch
+    ctx.seats.accepted_transfers[message.seat] = message.epoch
     ctx.seats.held[message.seat] = seat_rules.held_after_transfer(
         message.epoch,
         now,
@@ -295,9 +295,9 @@
 ) -> None:
     """Queue changes to the record; a later epoch replaces an earlier one."""
     for seat, owner in owners.items():
-        queued = ctx.seats.unwritten.get(seat)
+        queued = ctx.seats.unwritten_owners.get(seat)
         if queued is None or owner.epoch > queued.epoch:
-            ctx.seats.unwritten[seat] = owner
+            ctx.seats.unwritten_owners[seat] = owner
     ctx.seats.unwritten_releases.update(released)
 
 
@@ -305,7 +305,7 @@
     """Submit one job with all queued changes, unless one is pending."""
     seats = ctx.seats
     if (
-        not (seats.unwritten or seats.unwritten_releases)
+        not (seats.unwritten_owners or seats.unwritten_releases)
         or now < seats.write_at
     ):
         return
@@ -315,7 +315,7 @@
     seats.write_pending_since = now
     ctx.submit(
         WriteSeats(
-            owners=dict(seats.unwritten),
+            owners=dict(seats.unwritten_owners),
             released=dict(seats.unwritten_releases),
         )
     )
@@ -329,8 +329,8 @@
         seats.write_at = ctx.clock.monotonic() + _WRITE_RETRY_S
         return
     for seat, owner in report.job.owners.items():
-        if seats.unwritten.get(seat) == owner:
-            del seats.unwritten[seat]
+        if seats.unwritten_owners.get(seat) == owner:
+            del seats.unwritten_owners[seat]
     for seat, epoch in report.job.released.items():
         if seats.unwritten_releases.get(seat) == epoch:
             del seats.unwritten_releases[seat]
--- a/chiverun/runtime/storeworker.py
+++ b/chiverun/runtime/storeworker.py
@@ -92,11 +92,11 @@
         """Claim seats by the job's plan; return the written claims."""
         record, index = self.read()
         for _ in range(_WRITE_ATTEMPTS):
-            claims = select_claims(record, job.plan, job.me)
+            claims = select_claims(record, job.plan, job.claimant)
             if not claims:
                 return [], record
             owners = {
-                c.seat: msgspec.structs.replace(job.me, epoch=c.epoch)
+                c.seat: msgspec.structs.replace(job.claimant, epoch=c.epoch)
                 for c in claims
             }
             new_record = with_owners(record, owners)
@@ -171,9 +171,9 @@
             case ClaimSeats():
                 claims, record = records.claim(job)
                 return SeatsClaimed(claims=tuple(claims), record=record)
-            case ReadSeats(asked_at=asked_at):
+            case ReadSeats(requested_at=requested_at):
                 record, _ = records.read()
-                return SeatsRead(record=record, asked_at=asked_at)
+                return SeatsRead(record=record, requested_at=requested_at)
             case WriteSeats():
                 records.write(job)
                 return SeatsWritten(is_done=True, job=job)
@@ -187,8 +187,8 @@
     match job:
         case ClaimSeats():
             return SeatsClaimed(claims=(), record=None)
-        case ReadSeats(asked_at=asked_at):
-            return SeatsRead(record=None, asked_at=asked_at)
+        case ReadSeats(requested_at=requested_at):
+            return SeatsRead(record=None, requested_at=requested_at)
         case WriteSeats():
             return SeatsWritten(is_done=False, job=job)
 
--- a/tests/core/test_seats.py
+++ b/tests/core/test_seats.py
@@ -7,9 +7,9 @@
 from chiverun.core.messages import MemberState
 from chiverun.core.messages import SeatHolderRecord
 from chiverun.core.seats import Claim
-from chiverun.core.seats import CLAIM_EPOCHS
+from chiverun.core.seats import CLAIM_EPOCH_STEP
 from chiverun.core.seats import ClaimPlan
-from chiverun.core.seats import ended_lives
+from chiverun.core.seats import ended_boots
 from chiverun.core.seats import held_after_claim
 from chiverun.core.seats import holders_digest
 from chiverun.core.seats import keep_old_deadlines
@@ -43,7 +43,7 @@
 def _plan(**fields) -> ClaimPlan:
     values = {
         "missing": frozenset({0}),
-        "most": 1,
+        "claims_max": 1,
         "rank": 0,
         "live": 1,
         "ended": frozenset(),
@@ -55,7 +55,7 @@
 
 def _claim(epoch: int, was_used: bool = True) -> list[Claim]:
     return [
-        Claim(seat=0, epoch=epoch + CLAIM_EPOCHS, was_used=was_used),
+        Claim(seat=0, epoch=epoch + CLAIM_EPOCH_STEP, was_used=was_used),
     ]
 
 
@@ -69,10 +69,10 @@
         (
             "own seat above the share",
             _owner(boot_id="me"),
-            {"most": 0},
+            {"claims_max": 0},
             _claim(3),
         ),
-        ("above the share", None, {"most": 0}, []),
+        ("above the share", None, {"claims_max": 0}, []),
         (
             "record behind a live holder",
             _owner(boot_id="me"),
@@ -184,7 +184,7 @@
             )
         )
         expected = {"b1"} if is_ended else set()
-        self.assertEqual(expected, ended_lives(members, ZONE, 100.0))
+        self.assertEqual(expected, ended_boots(members, ZONE, 100.0))
 
 
 class OpeningTest(unittest.TestCase):
--- a/tests/runtime/test_seatsystem.py
+++ b/tests/runtime/test_seatsystem.py
@@ -13,8 +13,8 @@
 from chiverun.core.messages import SeatRequest
 from chiverun.core.messages import SeatTransfer
 from chiverun.core.messages import Tickets
-from chiverun.core.seats import CLAIM_EPOCHS
-from chiverun.core.seats import NEWS_MARGIN_S
+from chiverun.core.seats import CLAIM_EPOCH_STEP
+from chiverun.core.seats import CLAIM_NOTICE_MARGIN_S
 from chiverun.core.state import apply_ticket
 from chiverun.core.ticket import Zone
 from chiverun.core.ticketentry import Entry
@@ -275,7 +275,8 @@
             if to == two.peer
             and isinstance(m, SeatHolderRecords)
             and any(
-                holder.epoch >= 2 * CLAIM_EPOCHS for holder in m.known_holders
+                holder.epoch >= 2 * CLAIM_EPOCH_STEP
+                for holder in m.known_holders
             )
         ]
         self.assertGreaterEqual(len(announcements), 4)
@@ -301,7 +302,7 @@
             for since in both_since.values():
                 longest_s = max(longest_s, now - since)
         self.assertGreater(longest_s, 0.0)
-        self.assertLess(longest_s, NEWS_MARGIN_S)
+        self.assertLess(longest_s, CLAIM_NOTICE_MARGIN_S)
 
     def test_restored_record_is_repaired(self) -> None:
         """Guards against former owners in a restored record."""
--- a/tests/runtime/test_ticketspread.py
+++ b/tests/runtime/test_ticketspread.py
@@ -405,10 +405,10 @@
         records = SeatRecords(store=MemoryStore(platform=platform), zone="z0")
         reports = []
         worker = StoreWorker.start(records, reports.append)
-        worker.ask(ReadSeats(asked_at=1.0))
-        worker.ask(ReadSeats(asked_at=2.0))
+        worker.ask(ReadSeats(requested_at=1.0))
+        worker.ask(ReadSeats(requested_at=2.0))
         worker.stop()
-        self.assertEqual([1.0, 2.0], [r.asked_at for r in reports])
+        self.assertEqual([1.0, 2.0], [r.requested_at for r in reports])
 
     def test_malformed_state_chunks(self):
         """Guards against malformed chunks that raise or mix two states."""
