--- a/chiverun/core/admission.py
+++ b/chiverun/core/admission.py
@@ -36,9 +36,9 @@
 from chiverun.core.waiting import QueueKey
 from chiverun.core.waiting import Waiter
 from chiverun.core.waiting import WaitQueues
-from chiverun.core.work import deadline_refusal
+from chiverun.core.work import deadline_rejection
 from chiverun.core.work import Grant
-from chiverun.core.work import refusal
+from chiverun.core.work import rejection
 from chiverun.core.work import Work
 
 if TYPE_CHECKING:
@@ -127,12 +127,12 @@
         with self._lock:
             self._check(work, now)
             if self._queues.length(work.key):
-                raise refusal(
+                raise rejection(
                     ResultCode.NO_CAPACITY, work, "other requests are queued"
                 )
             grant = self._grant(work, excluded, now)
             if grant is None:
-                raise refusal(ResultCode.NO_CAPACITY, work, "no free slot")
+                raise rejection(ResultCode.NO_CAPACITY, work, "no free slot")
             return grant
 
     def acquire(
@@ -153,7 +153,7 @@
             return waiter.grant
         if waiter.error is not None:
             raise waiter.error
-        raise deadline_refusal(work)
+        raise deadline_rejection(work)
 
     def enqueue(
         self,
@@ -338,11 +338,13 @@
 
     def _check(self, work: Work, now: float) -> None:
         if not self._is_current(now):
-            raise refusal(ResultCode.NO_SEAT, work, "seats are not confirmed")
+            raise rejection(
+                ResultCode.NO_SEAT, work, "seats are not confirmed"
+            )
         if not self._snapshot.seats:
-            raise refusal(ResultCode.NO_SEAT, work, "instance holds no seat")
+            raise rejection(ResultCode.NO_SEAT, work, "instance holds no seat")
         if now + self._times.expected_s(work.key, now) >= work.deadline:
-            raise refusal(
+            raise rejection(
                 ResultCode.DEADLINE_UNREACHABLE,
                 work,
                 "time left is below the expected run time",
@@ -430,7 +432,7 @@
         return self._grant(waiter.work, waiter.excluded, now)
 
     def _deadline_error(self, waiter: Waiter[Work, Grant]) -> ChiverunError:
-        return deadline_refusal(waiter.work)
+        return deadline_rejection(waiter.work)
 
     def _rebuild(self, snapshot: "Snapshot", now: float) -> None:
         """Rebuild slots, health rows and caps after a change of layout."""
--- a/chiverun/core/grants.py
+++ b/chiverun/core/grants.py
@@ -49,10 +49,10 @@
             granted_at=now,
         )
         self._busy[grant.number] = grant
-        usual_s = self._times.median_s(work.key)
-        if not work.is_long and usual_s:
+        typical_s = self._times.median_s(work.key)
+        if not work.is_long and typical_s:
             slowness = aged_slowness(self._health[name], now)
-            limit_s = OVERDUE_MEDIANS * usual_s * max(1.0, slowness)
+            limit_s = OVERDUE_MEDIANS * typical_s * max(1.0, slowness)
             due_at = now + max(OVERDUE_MIN_S, limit_s)
             self._overdue.watch(grant.number, work.key, name, due_at)
         return grant
--- a/chiverun/core/health.py
+++ b/chiverun/core/health.py
@@ -85,10 +85,10 @@
     row: ServerHealth,
     end: ExchangeEnd,
     latency_s: float,
-    usual_s: float,
+    typical_s: float,
     now: float,
 ) -> None:
-    """Record how an exchange ended; `usual_s` is its class's usual latency."""
+    """Record how an exchange ended; `typical_s` is the class latency."""
     match end:
         case Shed(reason=ShedReason.DRAINING):
             mark_draining(row, now)
@@ -96,23 +96,23 @@
             row.ejected_until = max(row.ejected_until, now + SHED_PAUSE_S)
         case Shed():
             pass
-        case TimedOut() if latency_s < SLOW_FACTOR * usual_s:
+        case TimedOut() if latency_s < SLOW_FACTOR * typical_s:
             # The caller's deadline was short; the server may be healthy.
             pass
         case _:
-            _record_exchange(row, end, latency_s, usual_s, now)
+            _record_exchange(row, end, latency_s, typical_s, now)
 
 
 def _record_exchange(
     row: ServerHealth,
     end: ExchangeEnd,
     latency_s: float,
-    usual_s: float,
+    typical_s: float,
     now: float,
 ) -> None:
     failed = classify(end).outcome is not Outcome.ANSWERED
     sample = max(latency_s, FAILURE_LATENCY_S) if failed else latency_s
-    observe(row, sample, usual_s, now)
+    observe(row, sample, typical_s, now)
     row.samples += 1
     if not failed:
         row.failures = 0
@@ -128,12 +128,12 @@
 
 
 def observe(
-    row: ServerHealth, latency_s: float, usual_s: float, now: float
+    row: ServerHealth, latency_s: float, typical_s: float, now: float
 ) -> None:
     """Add a latency sample, or a lower bound above the estimate."""
-    if usual_s <= 0.0:
+    if typical_s <= 0.0:
         return
-    sample = min(SLOWNESS_MAX, latency_s / usual_s)
+    sample = min(SLOWNESS_MAX, latency_s / typical_s)
     aged = aged_slowness(row, now)
     _update_slowness(
         row, aged + SLOWNESS_WEIGHT * (sample - aged), sample, now
@@ -141,15 +141,15 @@
 
 
 def observe_at_least(
-    row: ServerHealth, latency_s: float, usual_s: float, now: float
+    row: ServerHealth, latency_s: float, typical_s: float, now: float
 ) -> None:
     """Add the elapsed time of a cancelled exchange.
 
     It is no sign of recovery, so it never lowers the estimate.
     """
-    if usual_s <= 0.0:
+    if typical_s <= 0.0:
         return
-    sample = latency_s / usual_s
+    sample = latency_s / typical_s
     aged = aged_slowness(row, now)
     if sample > aged:
         estimate = aged + SLOWNESS_WEIGHT * (sample - aged)
--- a/chiverun/core/links.py
+++ b/chiverun/core/links.py
@@ -184,10 +184,10 @@
             wait_s = self._try_send(rate, booking)
             if wait_s <= 0:
                 return True
-            left_s = deadline - self._clock.monotonic()
-            if left_s <= 0:
+            remaining_s = deadline - self._clock.monotonic()
+            if remaining_s <= 0:
                 return False
-            self._sleep(min(wait_s, left_s, _RECHECK_S))
+            self._sleep(min(wait_s, remaining_s, _RECHECK_S))
 
     def _try_send(self, rate: ByteRate, booking: Booking) -> float:
         with self._lock:
--- a/chiverun/core/placement.py
+++ b/chiverun/core/placement.py
@@ -115,7 +115,7 @@
     return shares
 
 
-def place_of(
+def choose_place(
     level: str, key: str, shares: Mapping[Place, float], source: Place
 ) -> Place:
     """Return the place of a key by the shares of a source.
--- a/chiverun/core/queuelimits.py
+++ b/chiverun/core/queuelimits.py
@@ -10,7 +10,7 @@
 from chiverun.core.timestable import TimesTable
 from chiverun.core.waiting import WaitQueues
 from chiverun.core.work import Grant
-from chiverun.core.work import refusal
+from chiverun.core.work import rejection
 from chiverun.core.work import Work
 
 if TYPE_CHECKING:
@@ -53,20 +53,20 @@
         """
         slots = self.usable_slots(snapshot, work, now)
         if slots <= 0:
-            raise refusal(ResultCode.NO_CAPACITY, work, "no usable server")
+            raise rejection(ResultCode.NO_CAPACITY, work, "no usable server")
         queued = self._queues.length(work.key)
         if queued >= max(QUEUE_MIN, QUEUE_PER_SLOT_MAX * slots):
-            raise refusal(ResultCode.QUEUE_FULL, work, f"{queued} queued")
+            raise rejection(ResultCode.QUEUE_FULL, work, f"{queued} queued")
         waiting = sum(n for _, n in self._queues.lengths(work.service))
         if self.waiters_max is not None and waiting >= self.waiters_max:
-            raise refusal(
+            raise rejection(
                 ResultCode.QUEUE_FULL,
                 work,
                 f"{waiting} queued for the service",
             )
         wait_s = self.expected_wait_s(work, queued, slots, now)
         if now + wait_s > self._times.latest_start(work, now):
-            raise refusal(
+            raise rejection(
                 ResultCode.DEADLINE_UNREACHABLE,
                 work,
                 f"{queued} queued for {slots:.0f} slots",
--- a/chiverun/core/retries.py
+++ b/chiverun/core/retries.py
@@ -71,7 +71,7 @@
         Remaining attempts of the class, including the first one.
     delay_s : float or None
         A high quantile of the class's latency; None if it is unknown.
-    left_s : float
+    remaining_s : float
         Seconds until the deadline.
     """
     if not repeatable or attempts_left < 2 or delay_s is None:
--- a/chiverun/core/routing.py
+++ b/chiverun/core/routing.py
@@ -23,7 +23,7 @@
 TARGETS_MAX = 3
 # Round trip to another region. A request that expects a slot in its own zone
 # sooner waits there instead.
-REGION_DETOUR_S = 0.07
+REGION_ROUND_TRIP_S = 0.07
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
--- a/chiverun/core/shift.py
+++ b/chiverun/core/shift.py
@@ -125,7 +125,7 @@
     progress.grown_at = now
 
 
-def take(progress: ShiftProgress) -> bool:
+def should_move(progress: ShiftProgress) -> bool:
     """Return whether to move the next request, by error diffusion."""
     progress.diffusion += progress.fraction
     if progress.diffusion < 1.0:
--- a/chiverun/core/shiftcaps.py
+++ b/chiverun/core/shiftcaps.py
@@ -13,7 +13,7 @@
 from chiverun.core.ticket import Shift
 from chiverun.core.ticket import Zone
 from chiverun.core.work import Grant
-from chiverun.core.work import refusal
+from chiverun.core.work import rejection
 from chiverun.core.work import Work
 
 if TYPE_CHECKING:
@@ -91,7 +91,7 @@
         )
         limiter.cap = cap
         if not limiter.try_consume(now):
-            raise refusal(
+            raise rejection(
                 ResultCode.SHIFT_CAP,
                 work,
                 f"shift {shift.name} is at this instance's cap of {cap}/s",
--- a/chiverun/core/timestable.py
+++ b/chiverun/core/timestable.py
@@ -43,8 +43,8 @@
         needed_s = times.quantile_s(START_QUANTILE) if times else 0.0
         # At least half of the time left remains, so that a class is not
         # rejected for ever because of old slow samples.
-        left_s = work.deadline - now
-        return work.deadline - min(needed_s, left_s / 2.0)
+        remaining_s = work.deadline - now
+        return work.deadline - min(needed_s, remaining_s / 2.0)
 
     def record(
         self,
@@ -72,16 +72,16 @@
             Health of the server; None if it has been removed.
         """
         times = self.setdefault(work.key, ClassTimes())
-        usual_s = times.mean_s
+        typical_s = times.mean_s
         if cancelled:
             times.record(elapsed_s, now)
             if health is not None:
-                observe_at_least(health, elapsed_s, usual_s, now)
+                observe_at_least(health, elapsed_s, typical_s, now)
             return
         if classify(end).outcome is Outcome.ANSWERED:
             times.record(elapsed_s, now)
         if health is not None:
-            record(health, end, elapsed_s, usual_s or times.mean_s, now)
+            record(health, end, elapsed_s, typical_s or times.mean_s, now)
 
     def keep(self, services: Collection[ServiceName]) -> None:
         """Remove the classes of all services but the given ones."""
--- a/chiverun/core/work.py
+++ b/chiverun/core/work.py
@@ -54,14 +54,14 @@
     granted_at: float
 
 
-def deadline_refusal(work: Work) -> ChiverunError:
+def deadline_rejection(work: Work) -> ChiverunError:
     """Return the error of a request that cannot meet its deadline."""
-    return refusal(
+    return rejection(
         ResultCode.DEADLINE_UNREACHABLE, work, "no slot became free in time"
     )
 
 
-def refusal(code: ResultCode, work: Work, reason: str) -> ChiverunError:
+def rejection(code: ResultCode, work: Work, reason: str) -> ChiverunError:
     """Return the error of a rejected request, with service and class."""
     return ChiverunError(
         code,
--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -27,7 +27,7 @@
 from chiverun.core.retries import DEFAULT_THREADS
 from chiverun.core.retries import LongThreads
 from chiverun.core.routing import overflow_targets
-from chiverun.core.routing import REGION_DETOUR_S
+from chiverun.core.routing import REGION_ROUND_TRIP_S
 from chiverun.core.routing import region_targets
 from chiverun.core.routing import Target
 from chiverun.core.ticket import Region
@@ -350,7 +350,7 @@
             case Outcome.ANSWERED:
                 return False
             case Outcome.NOT_RUN:
-                # After a refusal by admission, all placements have been tried.
+                # After a rejection by admission, no placement is left to try.
                 return attempt.server is not None and self._has_time(request)
             case Outcome.UNKNOWN:
                 progress.may_have_run = True
@@ -434,7 +434,7 @@
     def _is_local_wait_shorter(self, target: Target, work: Work) -> bool:
         if target.region == work.source_region:
             return False
-        return self._executor.expected_wait_s(work) < REGION_DETOUR_S
+        return self._executor.expected_wait_s(work) < REGION_ROUND_TRIP_S
 
     def _forward(self, target: Target, request: ParsedRequest) -> Attempt:
         """Send a request to an instance of another zone."""
--- a/chiverun/runtime/execution.py
+++ b/chiverun/runtime/execution.py
@@ -108,7 +108,7 @@
     ) -> Attempt:
         """Run a request once, with a hedged second attempt if allowed.
 
-        A refusal by admission is returned as an attempt without a server.
+        A rejection by admission is returned as an attempt without a server.
         """
         try:
             with self._telemetry.span("admission", service=work.service):
--- a/chiverun/runtime/selection.py
+++ b/chiverun/runtime/selection.py
@@ -14,8 +14,8 @@
 from chiverun.core.ids import ServerName
 from chiverun.core.ids import ServiceName
 from chiverun.core.ids import ZoneName
+from chiverun.core.placement import choose_place
 from chiverun.core.placement import fair_shares
-from chiverun.core.placement import place_of
 from chiverun.core.placement import rendezvous
 from chiverun.core.placement import zone_first
 from chiverun.runtime.servertable import CONNECTIONS_FRACTION
@@ -129,7 +129,7 @@
     def _preferred_regions(self, placement: Placement) -> list[RegionName]:
         """Return the permitted regions in order of preference."""
         shares = self._shares_of(placement.service, placement.homes)
-        first = place_of("region", placement.key, shares, self._region)
+        first = choose_place("region", placement.key, shares, self._region)
         others = {
             row.region
             for row in self._table.by_service.get(placement.service, ())
@@ -195,7 +195,7 @@
             demand = collections.Counter([*self._region_zones(), self._zone])
             shares = fair_shares(capacity, demand, self._zone)
             self._zone_shares[placement.service] = shares
-        return place_of("zone", placement.key, shares, self._zone)
+        return choose_place("zone", placement.key, shares, self._zone)
 
     def _has_free_connection(
         self, row: ServerRow, spec: ServiceSpec | None
--- a/chiverun/runtime/shifting.py
+++ b/chiverun/runtime/shifting.py
@@ -16,7 +16,7 @@
 from chiverun.core.shift import record_refusal
 from chiverun.core.shift import select_targets
 from chiverun.core.shift import ShiftProgress
-from chiverun.core.shift import take
+from chiverun.core.shift import should_move
 from chiverun.core.shift import with_shift
 from chiverun.core.ticket import Shift
 from chiverun.core.work import Work
@@ -52,7 +52,7 @@
                 free_slots=free_slots, age_s=now - measured_at
             )
             grow(progress, measurement, now)
-            if not take(progress):
+            if not should_move(progress):
                 return []
             targets = shift_targets(snapshot, self._instance, shift, now)
             return select_targets(progress, targets, now)
--- a/standins/load_model.py
+++ b/standins/load_model.py
@@ -27,7 +27,7 @@
 from chiverun.core.retries import plan_hedge
 from chiverun.core.retries import RetryBudget
 from chiverun.core.routing import overflow_targets
-from chiverun.core.routing import REGION_DETOUR_S
+from chiverun.core.routing import REGION_ROUND_TRIP_S
 from chiverun.core.snapshot import EntryAddresses
 from chiverun.core.snapshot import HeldSeat
 from chiverun.core.snapshot import Snapshot
@@ -439,7 +439,7 @@
         ):
             is_far = target.region != self.info.region
             wait_s = self.admission.expected_wait_s(work)
-            if is_far and wait_s < REGION_DETOUR_S:
+            if is_far and wait_s < REGION_ROUND_TRIP_S:
                 continue
             one_way = (spec.region_ms if is_far else spec.zone_ms) / 1000.0
             yield one_way
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -9,8 +9,8 @@
 
 from chiverun.core.catalog import Server
 from chiverun.core.catalog import ServerState
+from chiverun.core.placement import choose_place
 from chiverun.core.placement import fair_shares
-from chiverun.core.placement import place_of
 from chiverun.core.placement import rendezvous
 
 _REGIONS = ("a", "b", "c")
@@ -78,7 +78,7 @@
         shares = {"a": 0.5, "b": 0.25, "c": 0.25}
         counts = dict.fromkeys(_REGIONS, 0)
         for i in range(4000):
-            counts[place_of("region", f"k{i}", shares, "a")] += 1
+            counts[choose_place("region", f"k{i}", shares, "a")] += 1
         for region, share in shares.items():
             self.assertAlmostEqual(counts[region] / 4000, share, delta=0.03)
 
@@ -87,8 +87,8 @@
         before = {"a": 0.50, "b": 0.5}
         after = {"a": 0.55, "b": 0.45}
         moved = sum(
-            place_of("region", k, before, "a")
-            != place_of("region", k, after, "a")
+            choose_place("region", k, before, "a")
+            != choose_place("region", k, after, "a")
             for k in keys
         )
         self.assertLess(moved / len(keys), 0.08)
--- a/tests/core/test_shift.py
+++ b/tests/core/test_shift.py
@@ -15,7 +15,7 @@
 from chiverun.core.shift import record_refusal
 from chiverun.core.shift import select_targets
 from chiverun.core.shift import ShiftProgress
-from chiverun.core.shift import take
+from chiverun.core.shift import should_move
 from chiverun.core.shift import with_shift
 from tests.core import cap_states
 
@@ -75,7 +75,7 @@
         progress = ShiftProgress(shift=cap_states.shift(fraction=1.0))
         for step in range(10):
             grow(progress, _FRESH, step * 1.0)
-        self.assertTrue(all(take(progress) for _ in range(1000)))
+        self.assertTrue(all(should_move(progress) for _ in range(1000)))
 
     @params((0.5, 0.4), (0.2, 0.2))
     def test_changed_shift_keeps_its_fraction(self, goal, expected):
@@ -89,7 +89,7 @@
     def test_diffusion_stays_within_one_of_the_fraction(self, fraction, n):
         """Guards against the deviation of random draws."""
         progress = ShiftProgress(shift=cap_states.shift(), fraction=fraction)
-        moved = sum(take(progress) for _ in range(n))
+        moved = sum(should_move(progress) for _ in range(n))
         self.assertLessEqual(abs(moved - fraction * n), 1.0 + 1e-6)
 
 
