--- a/chiverun/core/dissemination.py
+++ b/chiverun/core/dissemination.py
@@ -167,10 +167,10 @@
         self._offers: dict[Address, _Offer] = {}
 
     def allows(
-        self, *, sender: Address, offered: int, own: int, now: float
+        self, *, sender: Address, offered: int, own_number: int, now: float
     ) -> bool:
         """Return whether to pull now; if so, record the pull."""
-        if offered <= own:
+        if offered <= own_number:
             return False
         # Compared for equality: a later number of another history must not
         # delay the pulls of this instance's history.
@@ -178,7 +178,7 @@
         if is_repeated and now - self._pulled_at < PULL_RETRY_S:
             return False
         offer = self._offers.get(sender)
-        if offer is None or own >= offer.number:
+        if offer is None or own_number >= offer.number:
             offer = _Offer(number=offered)
         if offer.pulls >= FRUITLESS_PULLS_MAX and (
             now - offer.pulled_at < FRUITLESS_PULL_RETRY_S
--- a/chiverun/runtime/context.py
+++ b/chiverun/runtime/context.py
@@ -83,7 +83,7 @@
         self.incarnation = int(clock.wall() * 1000)
         self.is_leaving = False
         self.is_transferring_seats = False
-        self.fork: str | None = None
+        self.fork_reason: str | None = None
         self.in_force_at = clock.monotonic()
         self.advert_sequence = 0
         self.started_at = clock.monotonic()
--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -116,7 +116,7 @@
         self._telemetry = telemetry
         self._lock = threading.Lock()
         self._shifts = ShiftOffers(instance=identity.instance, clock=clock)
-        self._reader = RequestParser(
+        self._request_parser = RequestParser(
             zone=identity.zone, clock=clock, plane=plane, blocks=blocks
         )
         self._issuers = IssuerDirectory()
@@ -140,7 +140,7 @@
     def _handle(self, req: IncomingRequest) -> Response:
         self._issuers.refresh(self._plane.snapshot, self._clock.monotonic())
         try:
-            request = self._reader.read(req)
+            request = self._request_parser.parse(req)
         except ChiverunError as exc:
             # An earlier request with the same key may have run.
             key = IdempotencyKey(req.header("idempotency-key"))
--- a/chiverun/runtime/execution.py
+++ b/chiverun/runtime/execution.py
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Content:
+class ForwardedContent:
     """The part of a request that is forwarded unchanged."""
 
     method: str
@@ -100,7 +100,7 @@
     def run(
         self,
         work: "Work",
-        content: Content,
+        content: ForwardedContent,
         excluded: frozenset[ServerName],
         *,
         may_wait: bool,
@@ -166,7 +166,7 @@
         self,
         hedged_request: "HedgedRequest",
         first: "Grant",
-        content: Content,
+        content: ForwardedContent,
         excluded: frozenset[ServerName],
     ) -> ServerName | None:
         """Start a second attempt if a slot is free, without waiting."""
@@ -187,7 +187,7 @@
     def _send(
         self,
         grant: "Grant",
-        content: Content,
+        content: ForwardedContent,
         cancellation: Cancellation | None,
     ) -> ExchangeEnd:
         # The process may have been paused since the grant was made.
@@ -227,7 +227,7 @@
     def _make_backend_request(
         self,
         grant: "Grant",
-        content: Content,
+        content: ForwardedContent,
         cancellation: Cancellation | None,
     ) -> OutgoingRequest:
         work = grant.work
@@ -247,7 +247,7 @@
 
 
 def make_backend_request(
-    content: Content,
+    content: ForwardedContent,
     headers: dict[str, str],
     deadline: float,
     request_class: RequestClass,
--- a/chiverun/runtime/forward.py
+++ b/chiverun/runtime/forward.py
@@ -28,8 +28,8 @@
 from chiverun.integrations.web import error_response
 from chiverun.integrations.web import IncomingRequest
 from chiverun.integrations.web import Response
-from chiverun.runtime.execution import Content
 from chiverun.runtime.execution import deadline_from_epoch
+from chiverun.runtime.execution import ForwardedContent
 
 if TYPE_CHECKING:
     from chiverun.core.clock import Clock
@@ -100,7 +100,7 @@
             return error_response(
                 400, Outcome.NOT_RUN, ResultCode.REQUEST_MALFORMED, str(exc)
             )
-        content = Content(
+        content = ForwardedContent(
             method=req.method,
             path=req.target.removeprefix(_FORWARD_PREFIX + work.service)
             or "/",
@@ -117,7 +117,7 @@
             lambda: make_peer_response(self._run(work, content)),
         )
 
-    def _run(self, work: Work, content: Content) -> ExchangeEnd:
+    def _run(self, work: Work, content: ForwardedContent) -> ExchangeEnd:
         if work.is_long and not self._long_threads.try_enter():
             return PeerRefused(code=ResultCode.QUEUE_FULL)
         try:
--- a/chiverun/runtime/instance.py
+++ b/chiverun/runtime/instance.py
@@ -44,7 +44,7 @@
 from chiverun.runtime.forward import ForwardHandler
 from chiverun.runtime.healthcheck import HealthCheck
 from chiverun.runtime.public import LookupHandler
-from chiverun.runtime.status import Sources
+from chiverun.runtime.status import StatusSources
 from chiverun.runtime.storeworker import HeadWatch
 from chiverun.runtime.storeworker import SeatRecords
 from chiverun.runtime.storeworker import StoreWorker
@@ -211,7 +211,7 @@
             threads=cfg.forward_threads,
         )
         public = LookupHandler(
-            sources=Sources(
+            sources=StatusSources(
                 clock=self._clock,
                 plane=self._plane,
                 admission=self._admission,
--- a/chiverun/runtime/public.py
+++ b/chiverun/runtime/public.py
@@ -21,7 +21,7 @@
     from chiverun.core.lookup import BlockTables
     from chiverun.core.state import State
     from chiverun.integrations.telemetry import Telemetry
-    from chiverun.runtime.status import Sources
+    from chiverun.runtime.status import StatusSources
 
 KEYS_PER_CALL_MAX = 1000
 _COUNT = re.compile("[1-9][0-9]{0,3}")
@@ -33,7 +33,7 @@
     def __init__(
         self,
         *,
-        sources: "Sources",
+        sources: "StatusSources",
         keys: "KeyTable",
         blocks: "BlockTables",
         telemetry: "Telemetry",
@@ -150,8 +150,8 @@
             reasons.append("seats are suspended after a pause")
         if plane.is_leaving:
             reasons.append("the instance is leaving")
-        if plane.fork:
-            reasons.append(plane.fork)
+        if plane.fork_reason:
+            reasons.append(plane.fork_reason)
         return json_response(
             {"ready": not reasons, "reasons": reasons},
             status=503 if reasons else 200,
--- a/chiverun/runtime/request.py
+++ b/chiverun/runtime/request.py
@@ -15,7 +15,7 @@
 from chiverun.core.ticket import Zone
 from chiverun.core.work import Work
 from chiverun.integrations.web import IncomingRequest
-from chiverun.runtime.execution import Content
+from chiverun.runtime.execution import ForwardedContent
 from chiverun.runtime.forward import ORIGIN_HEADER
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
     """A parsed request with its service, class, deadline and regions."""
 
     work: Work
-    content: Content
+    content: ForwardedContent
 
 
 class RequestParser:
@@ -51,7 +51,7 @@
         self._plane = plane
         self._blocks = blocks
 
-    def read(self, req: IncomingRequest) -> ParsedRequest:
+    def parse(self, req: IncomingRequest) -> ParsedRequest:
         """Parse a request.
 
         Raises
@@ -85,7 +85,7 @@
                 deadline=self._deadline(req, request_class),
                 origin_region=self._origin(req, state),
             ),
-            content=Content(
+            content=ForwardedContent(
                 method=req.method,
                 path=path + (f"?{req.query}" if req.query else ""),
                 headers=req.headers,
--- a/chiverun/runtime/status.py
+++ b/chiverun/runtime/status.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Sources:
+class StatusSources:
     """Components from which a status is collected."""
 
     clock: "Clock"
@@ -65,7 +65,7 @@
     members: list[MemberStatus]
 
 
-def make_status(sources: Sources) -> Status:
+def make_status(sources: StatusSources) -> Status:
     """Return the current status."""
     plane = sources.plane
     now = sources.clock.monotonic()
@@ -80,7 +80,7 @@
         store_reachable=sources.watch.is_reachable,
         leaving=plane.is_leaving,
         suspended=plane.seats.suspended_at is not None,
-        fork=plane.fork,
+        fork=plane.fork_reason,
         store_fault=sources.watch.fault,
         seats=sorted(held),
         seats_open=sum(1 for h in held.values() if h.short_opens_at <= now),
--- a/chiverun/runtime/ticketspread.py
+++ b/chiverun/runtime/ticketspread.py
@@ -28,8 +28,8 @@
 
 def record_fork(ctx: "ControlContext", reason: str) -> None:
     """Record the reason of a fork and log it once."""
-    if ctx.fork != reason:
-        ctx.fork = reason
+    if ctx.fork_reason != reason:
+        ctx.fork_reason = reason
         _LOG.critical("ticket history has forked", extra={"reason": reason})
 
 
@@ -40,7 +40,7 @@
     own = ctx.state.number
     now = ctx.clock.monotonic()
     if ctx.pull_schedule.allows(
-        sender=sender, offered=number, own=own, now=now
+        sender=sender, offered=number, own_number=own, now=now
     ):
         ctx.send(sender, Pull(sender=ctx.identity.peer, number=own))
 
@@ -117,7 +117,7 @@
         return
     now = ctx.clock.monotonic()
     # Set again by the next exchange with a peer that has the other history.
-    ctx.fork = None
+    ctx.fork_reason = None
     seat_rules.keep_old_deadlines(
         ctx.seats, before, ctx.state, ctx.identity.zone, now
     )
--- a/standins/measure_real.py
+++ b/standins/measure_real.py
@@ -44,8 +44,8 @@
 from chiverun.integrations.backend import OutgoingRequest
 from chiverun.integrations.network import AddressMap
 from chiverun.integrations.telemetry import Telemetry
-from chiverun.runtime.execution import Content
 from chiverun.runtime.execution import Executor
+from chiverun.runtime.execution import ForwardedContent
 from chiverun.runtime.execution import HedgeLimits
 
 SERVERS = 6
@@ -116,7 +116,7 @@
                 source_region="r",
                 deadline=deadline,
             ),
-            Content(
+            ForwardedContent(
                 method="GET",
                 path=f"/{request_class.name}?token=t",
                 headers={},
--- a/tests/runtime/test_hedging.py
+++ b/tests/runtime/test_hedging.py
@@ -17,8 +17,8 @@
 from chiverun.integrations.backend import HttpBackends
 from chiverun.integrations.network import AddressMap
 from chiverun.integrations.telemetry import Telemetry
-from chiverun.runtime.execution import Content
 from chiverun.runtime.execution import Executor
+from chiverun.runtime.execution import ForwardedContent
 from chiverun.runtime.execution import HedgeLimits
 from chiverun.runtime.hedging import HedgePool
 from standins import backend as standin
@@ -81,7 +81,7 @@
 
     def run(self, request_class=READ, attempts_left=2, remaining_s=2.0):
         """Run a request that is first sent to the slow server."""
-        content = Content(
+        content = ForwardedContent(
             method=request_class.methods[0],
             path="/read?token=t",
             headers={},
--- a/tests/runtime/test_ticketspread.py
+++ b/tests/runtime/test_ticketspread.py
@@ -159,7 +159,7 @@
         ]
 
     def forks(self) -> list[str]:
-        return [n for n, p in self.planes.items() if p.fork]
+        return [n for n, p in self.planes.items() if p.fork_reason]
 
 
 def ticket(number: int, author: str, size: int = 0) -> Ticket:
@@ -328,12 +328,12 @@
         for step in range(1000):
             now = step / 5
             forked += pulls.allows(
-                sender="forked", offered=500, own=own, now=now
+                sender="forked", offered=500, own_number=own, now=now
             )
             if step % 10 == 0:
                 offered_at, is_behind = now, True
             if is_behind and pulls.allows(
-                sender="healthy", offered=own + 1, own=own, now=now
+                sender="healthy", offered=own + 1, own_number=own, now=now
             ):
                 own += 1
                 is_behind = False
@@ -385,7 +385,7 @@
         net.platform.admin({"restore": True})
         net.submit(author="b")
         net.watches["z0-0"].step(0)
-        self.assertIn("another ticket 2", net.planes["z0-0"].fork)
+        self.assertIn("another ticket 2", net.planes["z0-0"].fork_reason)
 
     def test_unexpected_errors_are_caught(self):
         """Guards against an exception that ends the thread of the watch."""
