--- a/chiverun/core/grants.py
+++ b/chiverun/core/grants.py
@@ -49,15 +49,15 @@
             granted_at=now,
         )
         self._busy[grant.number] = grant
-        usual_s = self._times.median_s(work.key)
-        if not work.is_long and usual_s:
+        typical_s = self._times.median_s(work.key)
+        if not work.is_long and typical_s:
             slowness = aged_slowness(self._health[name], now)
-            limit_s = OVERDUE_MEDIANS * usual_s * max(1.0, slowness)
+            limit_s = OVERDUE_MEDIANS * typical_s * max(1.0, slowness)
             due_at = now + max(OVERDUE_MIN_S, limit_s)
             self._overdue.watch(grant.number, work.key, name, due_at)
         return grant
 
-    def give_back(self, grant: Grant) -> bool:
+    def try_release(self, grant: Grant) -> bool:
         """Release a grant; return False if it has been released before.
 
         The slot stays busy until `end`, or the time given to `occupy`.
--- a/chiverun/core/links.py
+++ b/chiverun/core/links.py
@@ -162,7 +162,7 @@
             bytes_max = min(bytes_max, expected)
         return self.reserve(target, bytes_max, limit_s)
 
-    def note_response(self, name: str, actual_bytes: int) -> None:
+    def record_response(self, name: str, actual_bytes: int) -> None:
         """Record the actual size of a response of a class."""
         with self._lock:
             self._sizes.record(name, actual_bytes, self._clock.monotonic())
@@ -184,10 +184,10 @@
             wait_s = self._try_send(rate, booking)
             if wait_s <= 0:
                 return True
-            left_s = deadline - self._clock.monotonic()
-            if left_s <= 0:
+            remaining_s = deadline - self._clock.monotonic()
+            if remaining_s <= 0:
                 return False
-            self._sleep(min(wait_s, left_s, _RECHECK_S))
+            self._sleep(min(wait_s, remaining_s, _RECHECK_S))
 
     def _try_send(self, rate: ByteRate, booking: Booking) -> float:
         with self._lock:
--- a/chiverun/core/membership.py
+++ b/chiverun/core/membership.py
@@ -69,7 +69,7 @@
     row.advert = advert
     if row.boot_id != advert.boot_id:
         row.boot_id = advert.boot_id
-        row.noted_sequence = table.sequence
+        row.boot_seen_sequence = table.sequence
     if row.zone != advert.zone:
         row.zone = advert.zone
         table.add(row)
@@ -209,7 +209,8 @@
 def reset_failure_detection(table: MemberTable, now: float) -> None:
     """Restart the suspicion timers after a pause of this process.
 
-    Missing answers while this process was paused are no sign of a failure.
+    Acknowledgements that this process missed while it was paused do not
+    indicate a failure.
     """
     table.probe = None
     for row in table.rows.values():
@@ -237,16 +238,16 @@
 def record_ack(
     table: MemberTable, sender: Advert, sequence: int, now: float
 ) -> None:
-    """Process an answer to this instance's ping `sequence`.
+    """Process an acknowledgement of this instance's ping `sequence`.
 
     A process with another boot ID, known at the sender's address before the
-    ping was sent, has ended. A dead member that answers becomes a suspect.
+    ping was sent, has ended. A dead member that responds becomes a suspect.
     """
     for row in list(table.rows.values()):
         if row.peer != sender.peer or row.boot_id is None:
             continue
         if row.boot_id != sender.boot_id:
-            if row.noted_sequence < sequence:
+            if row.boot_seen_sequence < sequence:
                 record_ended(table, row.boot_id)
                 if row.advert is None:
                     table.remove(row.instance)
--- a/chiverun/core/peertable.py
+++ b/chiverun/core/peertable.py
@@ -11,11 +11,11 @@
 from chiverun.core.edgemessages import Heartbeat
 from chiverun.core.ids import InstanceId
 
-BEAT_PERIOD_S = 0.5
-# Four heartbeats are missing.
+HEARTBEAT_PERIOD_S = 0.5
+# Longer than four heartbeat periods, so four heartbeats have been missed.
 SILENT_AFTER_S = 2.2
-# After this time without the relay, machines read the store themselves and
-# send heartbeats to the whole region until the relay returns.
+# After this time without a message of the relay, machines read the store
+# themselves and send heartbeats to the whole region until it sends again.
 RELAY_SILENT_AFTER_S = 1.0
 # Delay between machines that replace a silent relay, by rank.
 RELAY_RANK_S = 0.1
@@ -25,9 +25,9 @@
 
 @dataclasses.dataclass(kw_only=True)
 class PeerRow:
-    """Another machine; `heard_at` is monotonic seconds."""
+    """The last heartbeat of a machine; `heard_at` is monotonic seconds."""
 
-    beat: Heartbeat
+    heartbeat: Heartbeat
     heard_at: float
 
 
@@ -50,25 +50,25 @@
         self._machines: dict[InstanceId, Machine] = {me.name: me}
         self._known: set[InstanceId] = {me.name}
 
-    def note_beat(self, beat: Heartbeat, now: float) -> bool:
+    def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
         """Record a heartbeat; return whether the machine was silent before."""
-        name = beat.machine.name
+        name = heartbeat.machine.name
         if name == self.me.name:
             return False
         row = self.rows.get(name)
         was_live = row is not None and now - row.heard_at < SILENT_AFTER_S
-        self.rows[name] = PeerRow(beat=beat, heard_at=now)
-        self._machines.setdefault(name, beat.machine)
+        self.rows[name] = PeerRow(heartbeat=heartbeat, heard_at=now)
+        self._machines.setdefault(name, heartbeat.machine)
         self._known.add(name)
         return not was_live
 
-    def note_list(
+    def record_live_list(
         self, hub: InstanceId, names: list[InstanceId], now: float
     ) -> None:
         """Record the list of live machines of a hub."""
         self.lists[hub] = LiveList(names=frozenset(names), heard_at=now)
 
-    def note_machines(self, machines: list[Machine]) -> None:
+    def record_machines(self, machines: list[Machine]) -> None:
         """Record the registered machines, whether live or not."""
         for machine in machines:
             self._machines[machine.name] = machine
@@ -83,30 +83,32 @@
         """
         return self._known
 
-    def heard(self, now: float) -> list[InstanceId]:
-        """Return the region's machines with recent heartbeats to this one."""
+    def heard_names(self, now: float) -> list[InstanceId]:
+        """Return the machines of the region that recently sent a heartbeat."""
         return [
             name
             for name, row in self.rows.items()
-            if row.beat.machine.region == self.me.region
-            and not row.beat.leaving
+            if row.heartbeat.machine.region == self.me.region
+            and not row.heartbeat.leaving
             and now - row.heard_at < SILENT_AFTER_S
         ]
 
     def live(self, now: float) -> list[Machine]:
         """Return the live machines of the region, excluding this one."""
-        names = set(self.heard(now))
+        names = set(self.heard_names(now))
         for row in self.lists.values():
             if now - row.heard_at < SILENT_AFTER_S:
                 names |= row.names
-        leaving = {name for name, row in self.rows.items() if row.beat.leaving}
+        leaving = {
+            name for name, row in self.rows.items() if row.heartbeat.leaving
+        }
         return [
             self._machines[name]
             for name in sorted(names - leaving - {self.me.name})
             if name in self._machines
         ]
 
-    def region(self) -> list[Machine]:
+    def region_machines(self) -> list[Machine]:
         """Return all known machines of the region, excluding this one."""
         return [
             machine
@@ -115,7 +117,7 @@
             and machine.name != self.me.name
         ]
 
-    def others(self) -> list[Machine]:
+    def remote_machines(self) -> list[Machine]:
         """Return the known machines of other regions."""
         return [
             machine
@@ -128,7 +130,7 @@
         live = {machine.name for machine in self.live(now)}
         names = sorted(
             machine.name
-            for machine in self.region()
+            for machine in self.region_machines()
             if machine.name in live or not self._is_listed(now)
         )
         return sorted([*names, self.me.name])[:HUBS_PER_REGION]
@@ -142,8 +144,8 @@
             return False
         readers = [
             name
-            for name in self.heard(now)
-            if self.rows[name].beat.reads_store
+            for name in self.heard_names(now)
+            if self.rows[name].heartbeat.reads_store
         ]
         if not readers:
             return True
@@ -151,17 +153,23 @@
 
     def is_relay_silent(self, now: float) -> bool:
         """Return whether this machine must replace the relay."""
-        names = sorted([m.name for m in self.region()] + [self.me.name])
+        names = sorted(
+            [m.name for m in self.region_machines()] + [self.me.name]
+        )
         rank = min(RELAY_RANKS_MAX, names.index(self.me.name))
         limit_s = RELAY_SILENT_AFTER_S + rank * RELAY_RANK_S
         return now - self.relay_heard_at > limit_s
 
-    def beat_targets(self, now: float) -> list[Machine]:
+    def heartbeat_targets(self, now: float) -> list[Machine]:
         """Return the machines to send heartbeats to."""
         if now - self.relay_heard_at > RELAY_SILENT_AFTER_S:
-            return self.region()
+            return self.region_machines()
         hubs = self.hubs(now)
-        return [machine for machine in self.region() if machine.name in hubs]
+        return [
+            machine
+            for machine in self.region_machines()
+            if machine.name in hubs
+        ]
 
     def _is_listed(self, now: float) -> bool:
         return any(
--- a/chiverun/runtime/entry.py
+++ b/chiverun/runtime/entry.py
@@ -27,7 +27,7 @@
 from chiverun.core.retries import DEFAULT_THREADS
 from chiverun.core.retries import LongThreads
 from chiverun.core.routing import overflow_targets
-from chiverun.core.routing import REGION_DETOUR_S
+from chiverun.core.routing import REGION_ROUND_TRIP_S
 from chiverun.core.routing import region_targets
 from chiverun.core.routing import Target
 from chiverun.core.ticket import Region
@@ -116,7 +116,7 @@
         self._telemetry = telemetry
         self._lock = threading.Lock()
         self._shifts = ShiftOffers(instance=identity.instance, clock=clock)
-        self._reader = RequestParser(
+        self._request_parser = RequestParser(
             zone=identity.zone, clock=clock, plane=plane, blocks=blocks
         )
         self._issuers = IssuerDirectory()
@@ -140,7 +140,7 @@
     def _handle(self, req: IncomingRequest) -> Response:
         self._issuers.refresh(self._plane.snapshot, self._clock.monotonic())
         try:
-            request = self._reader.read(req)
+            request = self._request_parser.parse(req)
         except ChiverunError as exc:
             # An earlier request with the same key may have run.
             key = IdempotencyKey(req.header("idempotency-key"))
@@ -161,9 +161,8 @@
                 428,
                 Outcome.NOT_RUN,
                 ResultCode.KEY_REQUIRED,
-                f"class {request.work.request_class.name} is not "
-                "repeatable and needs an Idempotency-Key header; POST "
-                "/v1/keys issues keys",
+                f"class {request.work.request_class.name} may not be "
+                "repeated; get an Idempotency-Key by POST /v1/keys",
             )
         parts = parse_key(key)
         if parts is not None and parts.instance != self._identity.instance:
@@ -225,17 +224,15 @@
         """
         if req.header(ISSUER_HEADER.lower()):
             # The forwarding instance has an outdated address of the issuer.
-            return unknown_outcome_response(
-                key, "the address of its issuer is outdated"
-            )
+            return unknown_outcome_response(key, "its issuer has moved")
         issuer = self._issuers.find(instance)
         if issuer is None:
             return unknown_outcome_response(
-                key, "its issuer is not known to be alive"
+                key, "its issuer is not known to be live"
             )
         if self._pace_request(issuer, request) is not None:
             return unknown_outcome_response(
-                key, "the link to its issuer has no free capacity"
+                key, "the link to its issuer has no room"
             )
         headers = backend_headers(req.headers)
         self._set_region_headers(headers, request.work)
@@ -262,7 +259,7 @@
             case PeerRefused(code=ResultCode.REQUEST_MALFORMED):
                 # The issuer rejected the request before it looked up the key.
                 return unknown_outcome_response(
-                    key, "its issuer rejected the request as malformed"
+                    key, "its issuer could not read it"
                 )
             case Answered() | PeerRefused():
                 return to_response(make_result(end))
@@ -353,7 +350,7 @@
             case Outcome.ANSWERED:
                 return False
             case Outcome.NOT_RUN:
-                # After a refusal by admission, all placements have been tried.
+                # After a rejection by admission, no placement is left to try.
                 return attempt.server is not None and self._has_time(request)
             case Outcome.UNKNOWN:
                 progress.may_have_run = True
@@ -390,7 +387,7 @@
         )
         for target in self._shifts.targets(snapshot, work, now):
             attempt = self._forward(target, request)
-            self._shifts.note(snapshot, target, work, attempt.end)
+            self._shifts.record_result(snapshot, target, work, attempt.end)
             yield attempt
         local = self._executor.run(
             work, request.content, excluded, may_wait=False, hedge=hedge
@@ -437,7 +434,7 @@
     def _is_local_wait_shorter(self, target: Target, work: Work) -> bool:
         if target.region == work.source_region:
             return False
-        return self._executor.expected_wait_s(work) < REGION_DETOUR_S
+        return self._executor.expected_wait_s(work) < REGION_ROUND_TRIP_S
 
     def _forward(self, target: Target, request: ParsedRequest) -> Attempt:
         """Send a request to an instance of another zone."""
--- a/chiverun/runtime/forward.py
+++ b/chiverun/runtime/forward.py
@@ -28,8 +28,8 @@
 from chiverun.integrations.web import error_response
 from chiverun.integrations.web import IncomingRequest
 from chiverun.integrations.web import Response
-from chiverun.runtime.execution import Content
 from chiverun.runtime.execution import deadline_from_epoch
+from chiverun.runtime.execution import ForwardedContent
 
 if TYPE_CHECKING:
     from chiverun.core.clock import Clock
@@ -83,7 +83,7 @@
                     503,
                     Outcome.NOT_RUN,
                     ResultCode.LEAVING,
-                    "this instance is stopping; retry at another instance",
+                    "this instance is stopping; ask another",
                 )
             self.in_flight += 1
         try:
@@ -100,7 +100,7 @@
             return error_response(
                 400, Outcome.NOT_RUN, ResultCode.REQUEST_MALFORMED, str(exc)
             )
-        content = Content(
+        content = ForwardedContent(
             method=req.method,
             path=req.target.removeprefix(_FORWARD_PREFIX + work.service)
             or "/",
@@ -117,7 +117,7 @@
             lambda: make_peer_response(self._run(work, content)),
         )
 
-    def _run(self, work: Work, content: Content) -> ExchangeEnd:
+    def _run(self, work: Work, content: ForwardedContent) -> ExchangeEnd:
         if work.is_long and not self._long_threads.try_enter():
             return PeerRefused(code=ResultCode.QUEUE_FULL)
         try:
@@ -135,15 +135,13 @@
     def _parse_work(self, req: IncomingRequest) -> Work:
         state = self._plane.snapshot.state
         if self._zone not in state.of(Zone):
-            raise ValueError(
-                f"zone {self._zone!r} is not declared by any ticket"
-            )
+            raise ValueError(f"zone {self._zone!r} is in no ticket")
         name = ServiceName(
             req.path.removeprefix(_FORWARD_PREFIX).split("/", 1)[0]
         )
         service = state.of(Service).get(name)
         if service is None:
-            raise ValueError(f"service {name!r} is not declared by any ticket")
+            raise ValueError(f"service {name!r} is unknown")
         request_class = _find_class(service, req.header(CLASS_HEADER.lower()))
         deadline = deadline_from_epoch(
             self._clock, req.header("x-deadline-epoch-ms")
@@ -165,9 +163,7 @@
     for request_class in service.classes:
         if request_class.name == name:
             return request_class
-    raise ValueError(
-        f"class {name!r} is not declared by service {service.name}"
-    )
+    raise ValueError(f"class {name!r} of service {service.name} is unknown")
 
 
 def pace_response(
@@ -195,7 +191,7 @@
             503,
             refusal_outcome,
             ResultCode.LINK_CAP,
-            f"link to {target} has no free capacity",
+            f"link to {target} has no room",
         )
     try:
         response = run()
@@ -204,14 +200,14 @@
         raise
     actual = message_bytes(response.headers, response.body)
     if response.status == 200:
-        links.note_response(name, actual)
+        links.record_response(name, actual)
     if links.pace(reservation, actual, work.deadline):
         return response
     return error_response(
         502,
         Outcome.UNKNOWN,
         ResultCode.BACKEND_TIMEOUT,
-        f"the link to {target} cannot carry the response before its deadline",
+        f"the response was too late for the link to {target}",
     )
 
 
