--- a/chiverun/core/admission.py
+++ b/chiverun/core/admission.py
@@ -219,7 +219,7 @@
         """Release a grant that was not used."""
         now = self._clock.monotonic()
         with self._lock:
-            if self._grants.give_back(grant):
+            if self._grants.try_release(grant):
                 self._grants.end(grant)
                 self._serve(now)
 
@@ -248,7 +248,7 @@
         """
         now = self._clock.monotonic()
         with self._lock:
-            if not self._grants.give_back(grant):
+            if not self._grants.try_release(grant):
                 return
             if exchange.may_still_run(end) and not ended:
                 until = max(now, grant.work.deadline + CLOCK_MARGIN_S)
--- a/chiverun/core/choice.py
+++ b/chiverun/core/choice.py
@@ -45,8 +45,8 @@
         All servers of the service with slots of this instance.
     lookup : Callable
         Returns a server's health and slots.
-    fits : Callable
-        Returns whether the request may go to a server at all: false for
+    is_allowed : Callable
+        Returns whether the request may be sent to a server at all: false for
         servers that drain, are excluded or must keep their last slots free.
     now : float
         Monotonic seconds.
--- a/chiverun/core/grants.py
+++ b/chiverun/core/grants.py
@@ -57,7 +57,7 @@
             self._overdue.watch(grant.number, work.key, name, due_at)
         return grant
 
-    def give_back(self, grant: Grant) -> bool:
+    def try_release(self, grant: Grant) -> bool:
         """Release a grant; return False if it has been released before.
 
         The slot stays busy until `end`, or the time given to `occupy`.
--- a/chiverun/core/membership.py
+++ b/chiverun/core/membership.py
@@ -209,7 +209,8 @@
 def reset_failure_detection(table: MemberTable, now: float) -> None:
     """Restart the suspicion timers after a pause of this process.
 
-    Missing answers while this process was paused are no sign of a failure.
+    Acknowledgements that this process missed while it was paused do not
+    indicate a failure.
     """
     table.probe = None
     for row in table.rows.values():
@@ -237,10 +238,10 @@
 def record_ack(
     table: MemberTable, sender: Advert, sequence: int, now: float
 ) -> None:
-    """Process an answer to this instance's ping `sequence`.
+    """Process an acknowledgement of this instance's ping `sequence`.
 
     A process with another boot ID, known at the sender's address before the
-    ping was sent, has ended. A dead member that answers becomes a suspect.
+    ping was sent, has ended. A dead member that responds becomes a suspect.
     """
     for row in list(table.rows.values()):
         if row.peer != sender.peer or row.boot_id is None:
--- a/chiverun/core/peertable.py
+++ b/chiverun/core/peertable.py
@@ -12,10 +12,10 @@
 from chiverun.core.ids import InstanceId
 
 HEARTBEAT_PERIOD_S = 0.5
-# Four heartbeats are missing.
+# Longer than four heartbeat periods, so four heartbeats have been missed.
 SILENT_AFTER_S = 2.2
-# After this time without the relay, machines read the store themselves and
-# send heartbeats to the whole region until the relay returns.
+# After this time without a message of the relay, machines read the store
+# themselves and send heartbeats to the whole region until it sends again.
 RELAY_SILENT_AFTER_S = 1.0
 # Delay between machines that replace a silent relay, by rank.
 RELAY_RANK_S = 0.1
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class PeerRow:
-    """Another machine; `heard_at` is monotonic seconds."""
+    """The last heartbeat of a machine; `heard_at` is monotonic seconds."""
 
     heartbeat: Heartbeat
     heard_at: float
@@ -83,8 +83,8 @@
         """
         return self._known
 
-    def heard(self, now: float) -> list[InstanceId]:
-        """Return the region's machines with recent heartbeats to this one."""
+    def heard_names(self, now: float) -> list[InstanceId]:
+        """Return the machines of the region that recently sent a heartbeat."""
         return [
             name
             for name, row in self.rows.items()
@@ -95,7 +95,7 @@
 
     def live(self, now: float) -> list[Machine]:
         """Return the live machines of the region, excluding this one."""
-        names = set(self.heard(now))
+        names = set(self.heard_names(now))
         for row in self.lists.values():
             if now - row.heard_at < SILENT_AFTER_S:
                 names |= row.names
@@ -108,7 +108,7 @@
             if name in self._machines
         ]
 
-    def region(self) -> list[Machine]:
+    def region_machines(self) -> list[Machine]:
         """Return all known machines of the region, excluding this one."""
         return [
             machine
@@ -117,7 +117,7 @@
             and machine.name != self.me.name
         ]
 
-    def others(self) -> list[Machine]:
+    def remote_machines(self) -> list[Machine]:
         """Return the known machines of other regions."""
         return [
             machine
@@ -130,7 +130,7 @@
         live = {machine.name for machine in self.live(now)}
         names = sorted(
             machine.name
-            for machine in self.region()
+            for machine in self.region_machines()
             if machine.name in live or not self._is_listed(now)
         )
         return sorted([*names, self.me.name])[:HUBS_PER_REGION]
@@ -144,7 +144,7 @@
             return False
         readers = [
             name
-            for name in self.heard(now)
+            for name in self.heard_names(now)
             if self.rows[name].heartbeat.reads_store
         ]
         if not readers:
@@ -153,7 +153,9 @@
 
     def is_relay_silent(self, now: float) -> bool:
         """Return whether this machine must replace the relay."""
-        names = sorted([m.name for m in self.region()] + [self.me.name])
+        names = sorted(
+            [m.name for m in self.region_machines()] + [self.me.name]
+        )
         rank = min(RELAY_RANKS_MAX, names.index(self.me.name))
         limit_s = RELAY_SILENT_AFTER_S + rank * RELAY_RANK_S
         return now - self.relay_heard_at > limit_s
@@ -161,9 +163,13 @@
     def heartbeat_targets(self, now: float) -> list[Machine]:
         """Return the machines to send heartbeats to."""
         if now - self.relay_heard_at > RELAY_SILENT_AFTER_S:
-            return self.region()
+            return self.region_machines()
         hubs = self.hubs(now)
-        return [machine for machine in self.region() if machine.name in hubs]
+        return [
+            machine
+            for machine in self.region_machines()
+            if machine.name in hubs
+        ]
 
     def _is_listed(self, now: float) -> bool:
         return any(
--- a/chiverun/runtime/follower.py
+++ b/chiverun/runtime/follower.py
@@ -249,7 +249,7 @@
         ):
             self._live_list_sent_at = now
             self._live_list_changed = False
-            live = [*self.table.heard(now)]
+            live = [*self.table.heard_names(now)]
             live += [] if self.leaving else [self._me.name]
         message = edgemessages.encode(
             Update(
@@ -262,7 +262,7 @@
                 live=live,
             )
         )
-        for machine in self.table.region():
+        for machine in self.table.region_machines():
             self._peers.send(machine.peer, message)
 
     def _pull(self) -> None:
@@ -272,9 +272,9 @@
         )
         by_region: dict[str, list[Address]] = {}
         region_machines = (
-            self.table.live(self._loop.time()) or self.table.region()
+            self.table.live(self._loop.time()) or self.table.region_machines()
         )
-        for machine in [*region_machines, *self.table.others()]:
+        for machine in [*region_machines, *self.table.remote_machines()]:
             by_region.setdefault(machine.region, []).append(machine.peer)
         addresses = {self._rng.choice(rows) for rows in by_region.values()}
         if not addresses:
--- a/chiverun/runtime/selection.py
+++ b/chiverun/runtime/selection.py
@@ -38,7 +38,7 @@
 # cache; the next run on that server is expected to be warm.
 RUN_OBJECTIVE_FRACTION = 0.5
 # A server whose load is below this fraction of its slots serves keys of
-# servers that are not open, so that these requests are not refused.
+# servers that are not open, so that these requests are not rejected.
 IDLE_LOAD_FRACTION = 0.3
 _RANKINGS_MAX = 4096
 
@@ -56,7 +56,7 @@
 
     service: ServiceName
     key: str
-    homes: tuple[RegionName, ...]
+    permitted_regions: tuple[RegionName, ...]
     typical_s: float
     run_s: float
     objective_s: float
@@ -128,14 +128,16 @@
 
     def _preferred_regions(self, placement: Placement) -> list[RegionName]:
         """Return the permitted regions in order of preference."""
-        shares = self._shares_of(placement.service, placement.homes)
+        shares = self._shares_of(
+            placement.service, placement.permitted_regions
+        )
         first = choose_place("region", placement.key, shares, self._region)
         others = {
             row.region
             for row in self._table.by_service.get(placement.service, ())
         }
-        if placement.homes:
-            others &= set(placement.homes)
+        if placement.permitted_regions:
+            others &= set(placement.permitted_regions)
         ordered = [first]
         if self._region in others and self._region != first:
             ordered.append(self._region)
@@ -143,20 +145,20 @@
         return [region for region in ordered if region in others]
 
     def _shares_of(
-        self, service: ServiceName, homes: tuple[RegionName, ...]
+        self, service: ServiceName, permitted_regions: tuple[RegionName, ...]
     ) -> Shares:
-        shares = self._shares.get((service, homes))
+        shares = self._shares.get((service, permitted_regions))
         if shares is None:
-            shares = self._compute_shares(service, homes)
-            self._shares[service, homes] = shares
+            shares = self._compute_shares(service, permitted_regions)
+            self._shares[service, permitted_regions] = shares
         return shares
 
     def _compute_shares(
-        self, service: ServiceName, homes: tuple[RegionName, ...]
+        self, service: ServiceName, permitted_regions: tuple[RegionName, ...]
     ) -> Shares:
         capacity: dict[RegionName, float] = {}
         for row in self._table.by_service.get(service, ()):
-            allowed = not homes or row.region in homes
+            allowed = not permitted_regions or row.region in permitted_regions
             if row.is_usable and allowed:
                 slots = capacity.get(row.region, 0.0) + row.server.slots
                 capacity[row.region] = slots
@@ -311,7 +313,7 @@
     return Placement(
         service=service,
         key=f"{route.host}{route.prefix}\0{key}",
-        homes=route.homes,
+        permitted_regions=route.homes,
         typical_s=typical_s,
         run_s=run_s,
         objective_s=route.objective_s,
--- a/chiverun/runtime/steering.py
+++ b/chiverun/runtime/steering.py
@@ -130,11 +130,11 @@
     ) -> OutgoingResponse:
         """Serve a client's request.
 
-        A stopping instance refuses a request that may outlast it.
+        A stopping instance rejects a request that may outlast it.
         """
         metadata = self._header_codec.request_metadata(incoming)
         if self.routes is None:
-            return self._refuse(
+            return self._reject(
                 metadata, "no desired state has been received yet"
             )
         path = incoming.target.partition("?")[0]
@@ -144,7 +144,7 @@
             self._log(metadata, 404, "no route", version=self.routes.version)
             return OutgoingResponse(status=404, headers=[])
         if stopping and may_outlast(stopping, route, self._typical_s(route)):
-            return self._refuse(metadata, "stopping")
+            return self._reject(metadata, "stopping")
         request = self._new_request(incoming, metadata, route)
         try:
             return await self._serve(request)
@@ -189,7 +189,7 @@
             reason = "no server may get it"
             if request.overload_s is not None:
                 reason = "overload"
-            return self._refuse(request.metadata, reason, request)
+            return self._reject(request.metadata, reason, request)
         while True:
             done, _ = await asyncio.wait(
                 request.pending,
@@ -325,11 +325,11 @@
         )
 
     def _fail(self, request: Request, reason: str) -> OutgoingResponse:
-        """Respond to a request that no server answered successfully."""
+        """Return the response to a request that no server completed."""
         if request.failure is not None and not request.pending:
             return self._forward(request, None, request.failure)
         if request.runs == 0 and not request.pending:
-            return self._refuse(request.metadata, reason, request)
+            return self._reject(request.metadata, reason, request)
         status = 504 if reason == "timeout" else 502
         self._log(
             request.metadata,
@@ -343,13 +343,13 @@
         )
         return OutgoingResponse(status=status, headers=[])
 
-    def _refuse(
+    def _reject(
         self,
         metadata: RequestMetadata,
         reason: str,
         request: Request | None = None,
     ) -> OutgoingResponse:
-        """Respond that the request did not run and will not run."""
+        """Return the response to a request that has not run and will not."""
         timing = self._timing(request) if request is not None else {}
         wait_s = request.overload_s if request is not None else None
         retry_s = min(RETRY_AFTER_MAX_S, max(RETRY_AFTER_S, wait_s or 0.0))
--- a/tests/core/test_grants.py
+++ b/tests/core/test_grants.py
@@ -40,7 +40,7 @@
         """Guards against a slot used twice while its request runs."""
         grant = self._grant()
         self.assertEqual((1, 1), (self._free(), self.table.in_use()))
-        self.assertTrue(self.table.give_back(grant))
+        self.assertTrue(self.table.try_release(grant))
         self.assertEqual((1, 0), (self._free(), self.table.in_use()))
         self.assertTrue(self.table.seat_in_use(grant.seat))
         self.table.end(grant)
@@ -50,8 +50,8 @@
     def test_grant_is_given_back_once(self) -> None:
         """Guards against freeing a slot that another request uses."""
         grant = self._grant()
-        self.assertTrue(self.table.give_back(grant))
-        self.assertFalse(self.table.give_back(grant))
+        self.assertTrue(self.table.try_release(grant))
+        self.assertFalse(self.table.try_release(grant))
 
     def test_occupied_slot_is_freed_at_its_time(self) -> None:
         """Guards against more requests than a server has slots.
@@ -60,7 +60,7 @@
         its deadline.
         """
         grant = self._grant()
-        self.table.give_back(grant)
+        self.table.try_release(grant)
         self.table.occupy(grant, _NOW + 2.25)
         self.table.advance(_NOW + 2.2)
         self.assertEqual(1, self._free())
